--- a/crates/elderpond-consensus/src/lib.rs
+++ b/crates/elderpond-consensus/src/lib.rs
@@ -35,6 +35,7 @@
 mod repair;
 mod replica;
 mod types;
+mod voter_selection;
 
 pub use replica::Replica;
 #[doc(hidden)]
@@ -43,3 +44,4 @@
     Action, Ballot, Beat, Digest, Event, Found, HandOver, Head, Held, Mark, Message, Millis,
     Numbers, Place, Record, Refusal, Rules, Status, Stored, Tag, Voter, VoterSet, VoterStatus,
 };
+pub use voter_selection::{Selection, Standing};
--- a/crates/elderpond-consensus/src/reconfiguration.rs
+++ b/crates/elderpond-consensus/src/reconfiguration.rs
@@ -9,6 +9,7 @@
 use crate::types::{
     Action, Ballot, Held, Mark, Message, Millis, Mutant, Numbers, Tag, Voter, VoterSet,
 };
+use crate::voter_selection::{Selection, Standing};
 
 /// An attempt to have the next set decided.
 #[derive(Clone, Hash)]
@@ -379,10 +380,39 @@
         self.alive.contains(&voter.node) && beat.is_some_and(|beat| beat.disk == Some(voter.disk))
     }
 
-    /// Who should vote now.
+    /// Who should vote now; nothing while this machine leaves and has heard of nobody else.
     fn wanted(&self) -> Option<Vec<Voter>> {
         let set = self.set.as_ref()?;
-        let mut live = vec![Voter {
+        let candidates = self.candidates();
+        if candidates.is_empty() {
+            return None;
+        }
+        let standing = |voter: &Voter| (*voter, self.standing(*voter, &candidates));
+        let voters: Vec<(Voter, Standing)> = set.voters.iter().map(standing).collect();
+        let votes = |node: Ipv4Addr| set.voters.iter().any(|voter| voter.node == node);
+        let mut spares = candidates;
+        spares.retain(|candidate| !votes(candidate.node));
+        let selection = Selection {
+            voters: &voters,
+            spares: &spares,
+            minimum: self.minimum_voters(&voters),
+        };
+        Some(selection.next_voters())
+    }
+
+    fn minimum_voters(&self, voters: &[(Voter, Standing)]) -> usize {
+        let minimum = self.rules.minimum_voters.max(1);
+        if !self.mutated(Mutant::CountedTwice) {
+            return minimum;
+        }
+        let reformatted =
+            |(_, standing): &&(Voter, Standing)| matches!(standing, Standing::Reformatted(_));
+        minimum.saturating_sub(voters.iter().filter(reformatted).count())
+    }
+
+    /// The machines that were heard of lately and could vote, each with the disk that it has now.
+    fn candidates(&self) -> Vec<Voter> {
+        let mut candidates = vec![Voter {
             node: self.me,
             disk: self.disk,
         }];
@@ -394,65 +424,48 @@
             let sure = |disk: &u64| !self.has_another_disk(node) || peer.sure == Some(*disk);
             let lately = self.now < peer.heard + 3 * self.rules.beat;
             if let Some(disk) = disk.filter(|disk| lately && sure(disk)) {
-                live.push(Voter { node, disk });
+                candidates.push(Voter { node, disk });
             }
         }
-        live.retain(|voter| !self.leaving.contains_key(&voter.node));
-        // Who was just left out may be ending still, and its last beats be under way.
+        let leaves = |voter: &Voter| self.leaving.contains_key(&voter.node);
+        candidates.retain(|voter| !leaves(voter) && !self.was_just_left_out(voter));
+        candidates
+    }
+
+    /// Who was just left out may be ending still, and its last beats be under way.
+    fn was_just_left_out(&self, voter: &Voter) -> bool {
+        let Some(set) = &self.set else { return false };
         let settled = self.now >= self.set_since + 2 * self.rules.beat;
-        let just_out = |it: &Voter| set.previous.contains(it) && !set.voters.contains(it);
-        live.retain(|voter| settled || !just_out(voter));
-        if live.is_empty() {
-            return None;
+        !settled && set.previous.contains(voter) && !set.voters.contains(voter)
+    }
+
+    /// What is known here of a voter.
+    fn standing(&self, voter: Voter, candidates: &[Voter]) -> Standing {
+        let reformatted = |it: &&Voter| it.node == voter.node && it.disk != voter.disk;
+        if let Some(&replacement) = candidates.iter().find(reformatted) {
+            return Standing::Reformatted(replacement);
         }
-        let safe = set
-            .voters
-            .iter()
-            .filter(|voter| live.contains(voter))
-            .count()
-            >= set.majority();
-        let replaceable = live.len() >= self.rules.minimum_voters.max(1) && safe;
-        let gone = |node: Ipv4Addr| {
-            let since = match self.peers.get(&node) {
-                Some(peer) => peer
-                    .down_since
-                    .or_else(|| (!self.alive.contains(&node)).then_some(self.started)),
-                None => Some(self.started),
-            };
-            node != self.me && since.is_some_and(|since| self.now > since + self.rules.gone)
-        };
-        let other_disk = |voter: &Voter| {
-            live.iter()
-                .any(|v| v.node == voter.node && v.disk != voter.disk)
-        };
         // Who leaves may be back in a moment: one that nobody stands in for stays a voter.
-        let leaves = |voter: &Voter| self.leaving.contains_key(&voter.node);
-        let twice = self.mutated(Mutant::CountedTwice);
-        let over = |voter: &Voter| other_disk(voter) || (replaceable && gone(voter.node));
-        let stay = set
-            .voters
-            .iter()
-            .filter(|voter| !leaves(voter) && (!over(voter) || twice));
-        let new = live.iter().filter(|voter| !set.voters.contains(voter));
-        let spared = stay.count() + new.count() >= self.rules.minimum_voters.max(1);
-        let goes = |voter: &Voter| (spared && leaves(voter)) || over(voter);
-        let mut wanted: Vec<Voter> = set
-            .voters
-            .iter()
-            .copied()
-            .filter(|voter| !goes(voter))
-            .collect();
-        wanted.extend(&live);
-        wanted.sort_unstable();
-        wanted.dedup();
-        // Who leaves may leave too few behind: those who are not there go with it.
-        if live.len() * 2 <= wanted.len()
-            && live.len() >= self.rules.minimum_voters.max(1)
-            && set.voters.iter().any(leaves)
-        {
-            wanted.retain(|voter| live.contains(voter));
+        if self.leaving.contains_key(&voter.node) {
+            return Standing::Leaves;
+        }
+        match self.is_down(voter.node) {
+            true => Standing::Down,
+            false => Standing::Stays,
+        }
+    }
+
+    /// Whether that machine has been out of reach for long enough to be replaced.
+    fn is_down(&self, node: Ipv4Addr) -> bool {
+        if node == self.me {
+            return false;
         }
-        Some(wanted)
+        let never_seen = || (!self.alive.contains(&node)).then_some(self.started);
+        let since = match self.peers.get(&node) {
+            Some(peer) => peer.down_since.or_else(never_seen),
+            None => Some(self.started),
+        };
+        since.is_some_and(|since| self.now > since + self.rules.gone)
     }
 
     /// Whether this hive is to vote, and a set of voters without it is under way, or may be once it has heard
--- a/crates/elderpond-consensus/src/replica.rs
+++ b/crates/elderpond-consensus/src/replica.rs
@@ -20,6 +20,9 @@
 /// Answers waiting for a write; repeated questions are not answered twice, so this is far from reached.
 const OWED: usize = 4_096;
 
+/// That a machine leaves is remembered for so long, unless it comes back or another tells it again (ms).
+const LEAVING_REMEMBERED: Millis = 16_000;
+
 /// Bits of a round that count attempts; those above hold the epoch.
 const ROUNDS: u32 = 48;
 /// From this epoch on, each has fewer rounds: so that there are epochs for good.
@@ -726,10 +729,10 @@
         if self.now >= self.beat_at {
             self.beat_soon = true;
         }
-        let (now, leave) = (self.now, self.rules.gone);
+        let now = self.now;
         let ends = self.ending.then_some(self.me);
         self.leaving
-            .retain(|node, since| Some(*node) == ends || now < *since + 2 * leave);
+            .retain(|node, since| Some(*node) == ends || now < *since + LEAVING_REMEMBERED);
         self.tick_register();
         self.tick_reconfiguration();
         self.tick_farewell();
--- a/crates/elderpond-consensus/src/types.rs
+++ b/crates/elderpond-consensus/src/types.rs
@@ -177,7 +177,7 @@
     pub recover: Millis,
     /// Between beats (ms).
     pub beat: Millis,
-    /// A voter away for longer is replaced (ms).
+    /// A voter out of reach for longer is replaced by a spare machine, if there is one (ms).
     pub gone: Millis,
     /// A failed write is tried again after this (ms).
     pub rewrite: Millis,
@@ -242,7 +242,7 @@
             retry: 200,
             recover: 300,
             beat: 1_000,
-            gone: 8_000,
+            gone: 500,
             rewrite: 500,
             marks: 8_192,
             numbers: 4_096,
--- a/crates/elderpond-simulator/src/world/troubles.rs
+++ b/crates/elderpond-simulator/src/world/troubles.rs
@@ -563,8 +563,8 @@
         self.machines[hive].gone = true;
         self.machines[fresh].meets = Some(trouble.how);
         self.name_seeds(left, Some(fresh));
-        // Nobody said that it would go: it keeps its vote for a while, then its successor has its time.
-        self.after(GONE + CATCH_UP, Coming::Removed { hive });
+        // It counts as lost until its successor has had its time.
+        self.after(CATCH_UP, Coming::Removed { hive });
     }
 
     fn stop_core(&mut self, power: bool) {
