--- a/crates/elderpond-consensus/src/proposer.rs
+++ b/crates/elderpond-consensus/src/proposer.rs
@@ -211,16 +211,12 @@
         for version in versions {
             self.prepare(version);
         }
-        let force = self.force_version();
-        if self
-            .reads
-            .iter()
-            .any(|read| read.target.is_some_and(|target| target <= force))
-        {
+        let (force, majority) = (self.force_version(), self.majority());
+        if self.reads.iter().any(|read| read.is_done(force, majority)) {
             let held = self.in_force();
             let out = &mut self.out;
             self.reads.retain(|read| {
-                let done = read.target.is_some_and(|target| target <= force);
+                let done = read.is_done(force, majority);
                 if let (true, Some(ticket)) = (done, read.ticket) {
                     out.push(Action::ReadDone {
                         ticket,
@@ -237,13 +233,13 @@
             for read in self
                 .reads
                 .iter_mut()
-                .filter(|read| read.target.is_none() && now >= read.next)
+                .filter(|read| read.is_open(majority) && now >= read.next)
             {
                 read.next = now + retry;
-                ids.push(read.id);
+                ids.push((read.id, read.confirms));
             }
-            for id in ids {
-                self.send_voters(&Message::Read { epoch, id });
+            for (id, confirms) in ids {
+                self.ask_for_read(id, confirms);
             }
         }
     }
--- a/crates/elderpond-consensus/src/reads.rs
+++ b/crates/elderpond-consensus/src/reads.rs
@@ -1,10 +1,10 @@
-//! Reads: the newest version that a majority of disks tells of.
+//! Reads: the newest version that a majority of disks tells of; confirmations, which have all marks too.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
 use crate::replica::{Replica, epoch_of};
-use crate::types::{Action, Millis, Refusal, Tag};
+use crate::types::{Action, Message, Millis, Refusal, Tag};
 
 /// A look for the newest version.
 #[derive(Clone, Hash)]
@@ -23,15 +23,32 @@
     pub(crate) confirms: bool,
     /// Of a confirmation: the newest version that each who answered knows of.
     pub(crate) heights: BTreeMap<Ipv4Addr, u64>,
+    /// Of a confirmation: the voters of which all marks that they had after it began are here.
+    marks_of: BTreeSet<Ipv4Addr>,
+    /// Larger than that of every comparison of marks begun before it.
+    began: u64,
 }
 
 impl ReadQuorum {
     pub(crate) fn restart(&mut self, next: Millis) {
         self.answers.clear();
         self.heights.clear();
+        self.marks_of.clear();
         self.target = None;
         self.next = next;
     }
+
+    /// Whether its answer may be given, with that version in force here and so many voters as a majority.
+    pub(crate) fn is_done(&self, in_force: u64, majority: usize) -> bool {
+        let marks = !self.confirms || self.marks_of.len() >= majority;
+        marks && self.target.is_some_and(|target| target <= in_force)
+    }
+
+    /// Whether voters have still to be asked.
+    pub(crate) fn is_open(&self, majority: usize) -> bool {
+        let marks = !self.confirms || self.marks_of.len() >= majority;
+        !marks || self.target.is_none()
+    }
 }
 
 impl Replica {
@@ -58,13 +75,69 @@
             target: None,
             confirms,
             heights: BTreeMap::new(),
+            marks_of: BTreeSet::new(),
+            began: self.ids_drawn(),
         };
         self.reads.push(read);
     }
 
+    /// Asks the voters what they hold, for that read.
+    pub(crate) fn ask_for_read(&mut self, id: u64, confirms: bool) {
+        let epoch = self.epoch();
+        let marks = self.marks.digest();
+        self.send_voters(&match confirms {
+            true => Message::Confirm { epoch, id, marks },
+            false => Message::Read { epoch, id },
+        });
+    }
+
+    /// What this voter holds, for the read of that number.
+    pub(crate) fn read_reply(&self, id: u64) -> Message {
+        let held = self.held.as_ref().map(|held| held.tag);
+        Message::ReadReply {
+            epoch: self.epoch(),
+            disk: self.disk,
+            id,
+            held,
+            written: self.on_disk().0 == held,
+            committed: self.force.as_ref().map(|held| held.tag),
+        }
+    }
+
+    /// The marks that a voter had when it answered are counted if they are all here, and compared otherwise.
+    pub(crate) fn on_confirmed(&mut self, from: Ipv4Addr, alike: bool, reply: Message) {
+        let Message::ReadReply {
+            epoch, disk, id, ..
+        } = reply
+        else {
+            return;
+        };
+        if !self.counts(from, epoch, disk) {
+            return;
+        }
+        match alike {
+            true => self.count_marks_of(from, |read| read.id == id),
+            false => self.compare(from),
+        }
+        self.message(from, reply);
+    }
+
+    /// Marks were compared with that voter to the end, from when so many ids were drawn.
+    pub(crate) fn marks_compared(&mut self, from: Ipv4Addr, disk: u64, began: u64) {
+        if self.counts(from, self.epoch(), disk) {
+            self.count_marks_of(from, |read| read.began <= began);
+        }
+    }
+
+    fn count_marks_of(&mut self, from: Ipv4Addr, of: impl Fn(&ReadQuorum) -> bool) {
+        for read in self.reads.iter_mut().filter(|read| of(read)) {
+            read.marks_of.insert(from);
+        }
+    }
+
     /// What may have been decided before the confirmation began is its target: what so many voters hold, with
     /// those who have not answered, as make a majority. It falls as more of them answer.
-    fn on_confirmed(&mut self, from: Ipv4Addr, id: u64, held: Option<Tag>, committed: Option<Tag>) {
+    fn on_heights(&mut self, from: Ipv4Addr, id: u64, held: Option<Tag>, committed: Option<Tag>) {
         let (majority, voters, epoch) = (self.majority(), self.voters().len(), self.epoch());
         let Some(read) = self.reads.iter_mut().find(|read| read.id == id) else {
             return;
@@ -108,7 +181,7 @@
         };
         read.answers.insert(from, held.filter(|_| written));
         if read.confirms {
-            return self.on_confirmed(from, id, held, committed);
+            return self.on_heights(from, id, held, committed);
         }
         let key = |tag: Option<(Tag, Ipv4Addr)>| tag.map(|(tag, _)| (tag.version, tag.ballot));
         read.held = [read.held, held.map(|tag| (tag, from))]
--- a/crates/elderpond-consensus/src/reconfiguration.rs
+++ b/crates/elderpond-consensus/src/reconfiguration.rs
@@ -352,7 +352,7 @@
             return;
         }
         if let Some(&node) = left.get(self.draw() as usize % left.len().max(1)) {
-            self.walk_on(node, None);
+            self.begin_walk(node);
         }
     }
 
--- a/crates/elderpond-consensus/src/repair.rs
+++ b/crates/elderpond-consensus/src/repair.rs
@@ -112,6 +112,8 @@
     pub(crate) with: Ipv4Addr,
     id: u64,
     at: Millis,
+    /// How many ids were drawn when its first page was asked for.
+    began: u64,
 }
 
 impl Replica {
@@ -600,13 +602,23 @@
         let silence = self.silence();
         let busy = |walk: &Walk| self.now < walk.at + silence;
         if !self.walk.as_ref().is_some_and(busy) {
-            self.walk_on(with, None);
+            self.begin_walk(with);
         }
     }
 
-    pub(crate) fn walk_on(&mut self, with: Ipv4Addr, after: Option<Place>) {
+    /// Has marks compared with that hive from the beginning.
+    pub(crate) fn begin_walk(&mut self, with: Ipv4Addr) {
+        self.walk_on(with, None, self.ids_drawn());
+    }
+
+    fn walk_on(&mut self, with: Ipv4Addr, after: Option<Place>, began: u64) {
         let (id, at, sums) = (self.next_id(), self.now, self.marks.sums());
-        self.walk = Some(Walk { with, id, at });
+        self.walk = Some(Walk {
+            with,
+            id,
+            at,
+            began,
+        });
         self.send(with, Message::MarksDiffer { id, sums, after });
     }
 
@@ -647,12 +659,15 @@
         marks.into_iter().for_each(|mark| self.join(mark));
         self.named_disk(from, id, disk);
         let mine = |walk: &mut Walk| walk.with == from && walk.id == id;
-        if self.walk.take_if(mine).is_none() {
+        let Some(walk) = self.walk.take_if(mine) else {
             return;
-        }
+        };
         match next {
-            Some(next) => self.walk_on(from, Some(next)),
-            None => self.walked(from, disk),
+            Some(next) => self.walk_on(from, Some(next), walk.began),
+            None => {
+                self.marks_compared(from, disk, walk.began);
+                self.walked(from, disk);
+            }
         }
     }
 
--- a/crates/elderpond-consensus/src/replica.rs
+++ b/crates/elderpond-consensus/src/replica.rs
@@ -515,6 +515,11 @@
         (self.on_disk, if marks { self.marks.digest() } else { 0 })
     }
 
+    /// How many ids were drawn in this life.
+    pub(crate) fn ids_drawn(&self) -> u64 {
+        self.next_id
+    }
+
     pub(crate) fn next_id(&mut self) -> u64 {
         self.next_id += 1;
         self.life.wrapping_add(self.next_id)
@@ -801,21 +806,18 @@
             Message::Body { held, committed } => self.on_body(from, held, committed),
             Message::Read { epoch, id } => {
                 if self.votes_in(from, epoch) {
-                    let held = self.held.as_ref().map(|held| held.tag);
-                    let committed = self.force.as_ref().map(|held| held.tag);
-                    self.send(
-                        from,
-                        Message::ReadReply {
-                            epoch,
-                            disk: self.disk,
-                            id,
-                            held,
-                            written: self.on_disk == held,
-                            committed,
-                        },
-                    );
+                    let reply = self.read_reply(id);
+                    self.send(from, reply);
+                }
+            }
+            Message::Confirm { epoch, id, marks } => {
+                if self.votes_in(from, epoch) {
+                    let alike = marks == self.marks.digest();
+                    let reply = Box::new(self.read_reply(id));
+                    self.send(from, Message::Confirmed { alike, reply });
                 }
             }
+            Message::Confirmed { alike, reply } => self.on_confirmed(from, alike, *reply),
             Message::ReadReply {
                 epoch,
                 disk,
--- a/crates/elderpond-consensus/src/types.rs
+++ b/crates/elderpond-consensus/src/types.rs
@@ -293,9 +293,10 @@
         /// Names the request in its answer.
         ticket: u64,
     },
-    /// Find out whether the newest configuration is in force here, and change nothing. It ends as a read
-    /// does, once what is in force here is no older than all that was acknowledged before it began; unlike
-    /// a read it ends no proposal that it meets, so it may be asked for at any pace.
+    /// Find out whether the newest configuration is in force here and all marks are, and change nothing. It
+    /// ends as a read does, once what is in force here is no older than all that was acknowledged before it
+    /// began, and all marks are here that were acknowledged before it began; unlike a read it ends no proposal
+    /// that it meets, so it may be asked for at any pace.
     Confirm {
         /// Names the request in its answer.
         ticket: u64,
@@ -579,6 +580,10 @@
         numbers: Numbers,
         state: Box<Message>,
     },
+    /// As `Read`, with the digest of all marks of the sender.
+    Confirm { epoch: u64, id: u64, marks: u64 },
+    /// The `ReadReply` to a `Confirm`, and whether the sender's marks have the digest that was asked about.
+    Confirmed { alike: bool, reply: Box<Message> },
 }
 
 /// A place among the marks: the bucket, and the key last told.
--- a/crates/elderpond-consensus/tests/storms.rs
+++ b/crates/elderpond-consensus/tests/storms.rs
@@ -72,10 +72,15 @@
                     world.ask(other, Op::Propose(older, body));
                 }
             }
-            4..6 => {
+            4 => {
                 let at_least = world.acked;
                 world.ask(node, Op::Read { at_least });
             }
+            5 => {
+                let at_least = world.acked;
+                world.ask(node, Op::Read { at_least });
+                world.confirm(node.octets()[3]);
+            }
             6 => {
                 world.ask(node, Op::Mark(format!("m{step}")));
             }
--- a/crates/elderpond-consensus/tests/world/mod.rs
+++ b/crates/elderpond-consensus/tests/world/mod.rs
@@ -82,8 +82,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
     Propose(u64, Bytes),
-    Read { at_least: u64 },
+    Read {
+        at_least: u64,
+    },
     Mark(String),
+    /// What was acknowledged before.
+    Confirm {
+        at_least: u64,
+        marks: BTreeSet<String>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -257,6 +264,7 @@
                 body,
             },
             Op::Read { .. } => Event::Read { ticket },
+            Op::Confirm { .. } => Event::Confirm { ticket },
             Op::Mark(key) => Event::Mark {
                 ticket,
                 key,
@@ -279,6 +287,11 @@
         self.ask(ip(n), Op::Read { at_least })
     }
 
+    pub fn confirm(&mut self, n: u8) -> u64 {
+        let (at_least, marks) = (self.acked, self.acked_marks.clone());
+        self.ask(ip(n), Op::Confirm { at_least, marks })
+    }
+
     fn act(&mut self, node: Ipv4Addr, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -295,7 +308,10 @@
                 }
                 Action::Acknowledged { ticket } => self.ended(ticket, Outcome::Acknowledged),
                 Action::Refused { ticket, why } => self.ended(ticket, Outcome::Refused(why)),
-                Action::ReadDone { ticket, held } => self.ended(ticket, Outcome::Read(held)),
+                Action::ReadDone { ticket, held } => {
+                    self.confirmed(node, ticket, &held);
+                    self.ended(ticket, Outcome::Read(held));
+                }
                 Action::InForce { version, body } => {
                     let state = self.nodes.get_mut(&node).unwrap();
                     assert!(version > state.in_force, "in force went back");
@@ -325,6 +341,22 @@
         assert!(!refused, "r{version}: refused, and then {what}");
     }
 
+    /// A confirmation ended there: all that was acknowledged before it began is known to that machine.
+    fn confirmed(&self, node: Ipv4Addr, ticket: u64, held: &Option<(u64, Bytes)>) {
+        let Op::Confirm { at_least, marks } = &self.ops[&ticket] else {
+            return;
+        };
+        let version = held.as_ref().map_or(0, |held| held.0);
+        assert!(
+            version >= *at_least,
+            "{node} confirms r{version}, r{at_least} was acknowledged"
+        );
+        for mark in marks {
+            let known = self.nodes[&node].marks.contains_key(mark);
+            assert!(known, "{node} confirms, and lacks the mark {mark}");
+        }
+    }
+
     fn ended(&mut self, ticket: u64, outcome: Outcome) {
         match (&self.ops[&ticket], &outcome) {
             (Op::Propose(version, body), Outcome::Acknowledged) => {
--- a/crates/elderpond-control-wire/src/lib.rs
+++ b/crates/elderpond-control-wire/src/lib.rs
@@ -13,7 +13,7 @@
 pub use pack::{pack, unpack};
 
 /// The wire's version. One that is not known is refused.
-pub const VERSION: u8 = 4;
+pub const VERSION: u8 = 5;
 /// The oldest version that is read still: since then messages were only added.
 pub const OLDEST: u8 = 2;
 /// Bytes of a message at most: the largest configuration, of 8 MiB, and what is said around it.
--- a/crates/elderpond-simulator/src/world/troubles.rs
+++ b/crates/elderpond-simulator/src/world/troubles.rs
@@ -388,8 +388,9 @@
             .iter()
             .any(|(from, to)| *from < FORAGERS && *to < FORAGERS);
         for hive in hives {
+            let apart = self.is_apart(hive);
             let machine = &mut self.machines[hive];
-            if machine.lost_until == Millis::MAX && machine.hive.is_some() && core {
+            if machine.lost_until == Millis::MAX && machine.hive.is_some() && core && !apart {
                 machine.lost_until = self.now + CATCH_UP;
                 machine.stood = self.now;
                 self.returned(hive);
@@ -403,6 +404,13 @@
         }
     }
 
+    /// Whether that machine is still cut off from another of the core, either way.
+    pub(super) fn is_apart(&self, hive: usize) -> bool {
+        let core = self.in_use();
+        core.iter()
+            .any(|it| self.cut(hive, *it) || self.cut(*it, hive))
+    }
+
     // ---- Machines ----
 
     /// It is back: asked later how it stands, and met.
@@ -452,10 +460,7 @@
 
     /// It goes on where it stood: its clock and what has waited, in either order.
     pub(super) fn thaw(&mut self, hive: usize, life: u64) {
-        let apart = self
-            .in_use()
-            .iter()
-            .any(|it| self.cut(hive, *it) || self.cut(*it, hive));
+        let apart = self.is_apart(hive);
         let machine = &mut self.machines[hive];
         if machine.life != life || machine.hive.is_none() {
             return;
