--- a/crates/elderpond-forager/src/carry.rs
+++ b/crates/elderpond-forager/src/carry.rs
@@ -127,6 +127,14 @@
     answer
 }
 
+/// An answer to a request whose body is not read: if there is one, its connection can't go on.
+fn unread(answer: Response<Freight>, body: Option<Incoming>) -> Response<Freight> {
+    match body.is_none_or(|body| body.is_end_stream()) {
+        true => answer,
+        false => last(answer),
+    }
+}
+
 async fn answer(
     shared: &Rc<Shared>,
     parts: Parts,
@@ -156,18 +164,16 @@
     let wait = wait.min(route.timeout_ms as Millis);
     let deadline = came + wait;
     guest.until(deadline);
+    if !shared.takes(came, deadline) {
+        return unread(refusal(0.05, "this process ends"), body);
+    }
     let until = Instant::now() + Duration::from_millis(wait);
     let most = routes.limits.max_body_bytes;
     let party = shared.rooms.party(&route);
     match shared.rooms.take(What::Clients, party) {
         Ok(room) => guest.holds(room),
         Err(why) => {
-            let refused = no_room(shared, What::Clients, &route, why);
-            // whose body is not read can't go on
-            return match body.is_none_or(|body| body.is_end_stream()) {
-                true => refused,
-                false => last(refused),
-            };
+            return unread(no_room(shared, What::Clients, &route, why), body);
         }
     }
     let hold = Taken::nothing(&shared.rooms, What::Bodies, party);
--- /dev/null
+++ b/crates/elderpond-forager/src/ending.rs
@@ -0,0 +1,54 @@
+//! How a process that was told to end spends its grace period.
+//!
+//! It goes on serving while clients and the platform learn that it ends. A request that could not be answered
+//! before the process is gone is refused, so that its client tries elsewhere with time left: taken and then cut,
+//! it would be lost.
+
+use std::time::Duration;
+
+use elderpond_forage::Millis;
+
+/// Part of the grace period during which each request is taken, and the longest that this lasts.
+const TAKES_ALL: f64 = 0.4;
+const TAKES_ALL_MOST: Millis = 2_500;
+/// Part of the grace period that is waited at least, for who has not heard yet.
+const LEAST: f64 = 0.35;
+/// Part of it after which no answer is waited for any more.
+const ANSWERED: f64 = 0.82;
+/// Part of it that connections have to close then.
+const CLOSING: f64 = 0.1;
+
+/// The times of an end, in milliseconds on the process's own clock.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Ending {
+    takes_all_until: Millis,
+    /// Nothing that is quiet ends before.
+    pub least: Millis,
+    /// What is not answered by then is cut.
+    pub answered_by: Millis,
+}
+
+impl Ending {
+    /// Of a process that was told to end at `now`, and is killed after `grace`.
+    #[must_use]
+    pub fn new(now: Millis, grace: Duration) -> Self {
+        let part = |part: f64| (grace.as_secs_f64() * 1000.0 * part) as Millis;
+        Self {
+            takes_all_until: now + part(TAKES_ALL).min(TAKES_ALL_MOST),
+            least: now + part(LEAST),
+            answered_by: now + part(ANSWERED),
+        }
+    }
+
+    /// Whether a request that came at `now` and is to be answered by `deadline` is taken.
+    #[must_use]
+    pub fn takes(&self, now: Millis, deadline: Millis) -> bool {
+        now < self.takes_all_until || deadline <= self.answered_by
+    }
+}
+
+/// How long connections have to close at the end of a grace period.
+#[must_use]
+pub fn closing(grace: Duration) -> Duration {
+    grace.mul_f64(CLOSING)
+}
--- a/crates/elderpond-forager/src/lib.rs
+++ b/crates/elderpond-forager/src/lib.rs
@@ -6,6 +6,7 @@
 mod carry;
 pub mod connection;
 mod door;
+pub mod ending;
 mod exchange;
 mod freight;
 mod front;
@@ -27,6 +28,7 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
+use crate::ending::Ending;
 use crate::shared::Shared;
 
 /// How often the settings file is looked at.
@@ -138,17 +140,20 @@
             Some(Told::Stop) | None => break,
         }
     }
-    shared.stop();
-    // clients are told by each answer that the connection ends; whoever comes late is still served
-    let until = tokio::time::Instant::now() + grace.mul_f64(0.75);
-    let least = tokio::time::Instant::now() + grace.mul_f64(0.35);
+    let ending = Ending::new(shared.now(), grace);
+    shared.stop(ending);
+    answer_what_is_in_hand(&shared, ending).await;
+    shared.close();
+    clients.abort();
+    let _ = tokio::time::timeout(ending::closing(grace), shared.all_closed()).await;
+}
+
+/// Clients are told by each answer that the connection ends; whoever comes late is still served, or refused.
+async fn answer_what_is_in_hand(shared: &Shared, ending: Ending) {
     let mut calm = 0;
-    while tokio::time::Instant::now() < until && calm < 3 {
+    while shared.now() < ending.answered_by && calm < 3 {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let quiet = shared.in_hand() == 0 && tokio::time::Instant::now() >= least;
+        let quiet = shared.in_hand() == 0 && shared.now() >= ending.least;
         calm = if quiet { calm + 1 } else { 0 };
     }
-    shared.close();
-    clients.abort();
-    let _ = tokio::time::timeout(grace.mul_f64(0.1), shared.all_closed()).await;
 }
--- a/crates/elderpond-forager/src/shared.rs
+++ b/crates/elderpond-forager/src/shared.rs
@@ -13,6 +13,7 @@
 use hashbrown::HashMap;
 use tokio::sync::watch;
 
+use crate::ending::Ending;
 use crate::guests::Guests;
 use crate::notes::Notes;
 use crate::pool::Pool;
@@ -48,6 +49,8 @@
     notes: Notes,
     hand: Cell<usize>,
     phase: watch::Sender<Phase>,
+    /// Once this process was told to end.
+    ending: Cell<Option<Ending>>,
     /// Seeds that the settings file names.
     pub seeds: watch::Sender<Vec<Ipv4Addr>>,
 }
@@ -115,6 +118,7 @@
             notes: Notes::default(),
             hand: Cell::new(0),
             phase: watch::channel(Phase::Open).0,
+            ending: Cell::new(None),
             seeds: watch::channel(skep.seeds()).0,
         }
     }
@@ -157,10 +161,16 @@
     }
 
     /// From now on answers end their connections.
-    pub fn stop(&self) {
+    pub fn stop(&self, ending: Ending) {
+        self.ending.set(Some(ending));
         self.phase.send_replace(Phase::Stopping);
     }
 
+    /// Whether a request that came at `now` and is to be answered by `deadline` can be, before this process ends.
+    pub fn takes(&self, now: Millis, deadline: Millis) -> bool {
+        (self.ending.get()).is_none_or(|ending| ending.takes(now, deadline))
+    }
+
     /// From now on connections end once they are idle.
     pub fn close(&self) {
         self.phase.send_replace(Phase::Closing);
--- a/crates/elderpond-forager/tests/clients.rs
+++ b/crates/elderpond-forager/tests/clients.rs
@@ -140,6 +140,39 @@
     });
 }
 
+/// A request of that id that is to be answered within so many milliseconds.
+fn ask_within(ms: u32, id: &str) -> String {
+    format!(
+        "GET /safe/x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {id}\r\n\
+         X-Deadline-Remaining-Ms: {ms}\r\n\r\n"
+    )
+}
+
+#[test]
+fn who_ends_refuses_late_what_it_could_not_answer_before_it_is_gone() {
+    story(USUAL, async |world| {
+        let mut early = world.asks(ask("unsafe", "1")).await;
+        let (mut first, _) = world.a.asked().await;
+        world.tell.send(Told::Stop).expect("a forager");
+        tokio::time::sleep(Duration::from_millis(450)).await;
+        let mut late = world.asks(ask_within(30_000, "2")).await;
+        let refused = late.message().await;
+        assert_eq!(
+            (refused.status(), refused.header("connection")),
+            (503, Some("close"))
+        );
+        assert!(refused.header("retry-after").is_some());
+        let mut short = world.asks(ask_within(150, "3")).await;
+        let (mut second, asked) = world.a.asked().await;
+        assert_eq!(asked.header("x-attempt-id"), Some("3"));
+        second.send(good("3", "short")).await;
+        assert_eq!(short.message().await.body, b"short");
+        first.send(good("1", "early")).await;
+        assert_eq!(early.message().await.body, b"early");
+        world.forager.await.expect("it ends by itself");
+    });
+}
+
 const SMALL: &str =
     r#"{"max-header-bytes":1000,"max-body-bytes":1000,"header-timeout-s":0.1,"idle-timeout-s":5}"#;
 
--- /dev/null
+++ b/crates/elderpond-forager/tests/ending.rs
@@ -0,0 +1,36 @@
+//! Which requests a process takes that was told to end.
+
+use std::time::Duration;
+
+use elderpond_forager::ending::{Ending, closing};
+use yare::parameterized;
+
+const TOLD: u64 = 1_000;
+
+#[parameterized(
+    at_once = { 0, 30_000, true },
+    while_others_learn_of_it = { 2_300, 30_000, true },
+    late_and_long = { 2_500, 3_000, false },
+    late_and_short = { 2_500, 2_400, true },
+    at_the_end = { 4_900, 100, false },
+)]
+fn given_six_seconds_then_what_could_not_be_answered_is_not_taken(
+    after: u64,
+    within: u64,
+    taken: bool,
+) {
+    let ending = Ending::new(TOLD, Duration::from_secs(6));
+    let now = TOLD + after;
+    assert_eq!(ending.takes(now, now + within), taken);
+}
+
+/// Requests sent up to 3 s after the signal may be cut in the second half of the grace period; later ones never.
+#[parameterized(six = { 6 }, ten = { 10 }, thirty = { 30 })]
+fn given_any_grace_then_nothing_is_taken_blindly_three_seconds_after(seconds: u64) {
+    let grace = Duration::from_secs(seconds);
+    let ending = Ending::new(TOLD, grace);
+    assert!(!ending.takes(TOLD + 2_900, u64::MAX));
+    let killed = TOLD + seconds * 1_000;
+    let closed = ending.answered_by + closing(grace).as_millis() as u64;
+    assert!(closed < killed - 400, "the process ends by itself");
+}
