--- a/crates/elderpond-control-wire/src/message.rs
+++ b/crates/elderpond-control-wire/src/message.rs
@@ -64,6 +64,11 @@
     },
     /// It goes in order.
     Leaving,
+    /// It has taken in this version: the next one may be told.
+    Taken {
+        /// The version's number.
+        version: u64,
+    },
 }
 
 /// What a hive tells about twice a second.
--- a/crates/elderpond-forager/src/link.rs
+++ b/crates/elderpond-forager/src/link.rs
@@ -98,7 +98,11 @@
                 anyhow::ensure!(!shared.follow.borrow().stale(now), "what it says comes too late");
                 shared.follow.borrow_mut().heard(now);
                 while let Some(message) = frames.read()? {
-                    take_in(shared, unpack(message)?);
+                    if let Some(version) = take_in(shared, unpack(message)?) {
+                        let taken = encode(&FromForager::Taken { version });
+                        let sent = stream.write_all(&taken);
+                        tokio::time::timeout(Duration::from_millis(NAP), sent).await??;
+                    }
                 }
                 if !frames.buffer.is_empty() {
                     shared.follow.borrow_mut().part(now);
@@ -118,16 +122,14 @@
     }
 }
 
-fn take_in(shared: &Shared, message: FromHive) {
+/// Takes in one message; the number of the version, if it was one.
+fn take_in(shared: &Shared, message: FromHive) -> Option<u64> {
     let now = shared.now();
     match message {
-        FromHive::Version { version, body } => match elderpond_flora::read(&body) {
-            Ok(read) if read.version_number.0 == version => {
-                shared.told(Routes::new(&read));
-            }
-            Ok(read) => log::error!("version r{version} says that it is {}", read.version_number),
-            Err(fault) => log::error!("version r{version} can't be used: {fault}"),
-        },
+        FromHive::Version { version, body } => {
+            take_version(shared, version, &body);
+            return Some(version);
+        }
         FromHive::Whole { settled, table } => {
             shared.patch.borrow_mut().replace(now, settled, &table);
             shared.table.set(true);
@@ -139,4 +141,13 @@
         }
         FromHive::Packed(_) => {} // unpacked before
     }
+    None
+}
+
+fn take_version(shared: &Shared, version: u64, body: &[u8]) {
+    match elderpond_flora::read(body) {
+        Ok(read) if read.version_number.0 == version => shared.told(Routes::new(&read)),
+        Ok(read) => log::error!("version r{version} says that it is {}", read.version_number),
+        Err(fault) => log::error!("version r{version} can't be used: {fault}"),
+    }
 }
--- a/crates/elderpond-hive/src/core/follow.rs
+++ b/crates/elderpond-hive/src/core/follow.rs
@@ -4,7 +4,7 @@
 use elderpond_control_wire::{FromForager, FromHive, Hello, Line, Pulse, encode, pack};
 use elderpond_registry::{Change, Entry, Number, State};
 
-use super::{Action, COUNTED, FOLLOWS, Forager, Hive, LinkId};
+use super::{Action, COUNTED, FOLLOWS, Forager, Hive, LEASE, LinkId, VersionPace};
 use crate::Millis;
 use crate::journal::What;
 
@@ -29,21 +29,18 @@
         self.journal.note(self.now, What::ForagerJoined(hello.node));
         let zone = self.zone(&hello.zone);
         let (node, heard_at) = (hello.node, self.now);
-        if let Some(in_force) = &self.in_force
-            && in_force.version > hello.version
-        {
-            let frame = in_force.frame.clone();
-            out.push(Action::ToForager { link, frame });
-        }
-        let frame = self.whole();
-        out.push(Action::ToForager { link, frame });
+        let versions = VersionPace::new(hello.version);
         let forager = Forager {
             node,
             zone,
             heard_at,
+            versions,
         };
         self.foragers.insert(link, forager);
-        let frame = encode(&self.word());
+        self.tell_versions(out);
+        let frame = self.whole();
+        out.push(Action::ToForager { link, frame });
+        let frame = encode(&self.word(self.vouches()));
         out.push(Action::ToForager { link, frame });
         if !self.vouches() {
             self.vouched = false;
@@ -59,12 +56,44 @@
         }
     }
 
-    pub(super) fn hear_forager(&mut self, link: LinkId, message: FromForager) {
+    /// Sends the version in force to each forager that is due to be told a newer one.
+    pub(super) fn tell_versions(&mut self, out: &mut Vec<Action>) {
+        let now = self.now;
+        let Some(in_force) = &mut self.in_force else {
+            return;
+        };
+        let version = in_force.version;
+        for (link, forager) in &mut self.foragers {
+            if !forager.versions.is_due(now, version) {
+                continue;
+            }
+            let frame = in_force.frame.get_or_insert_with(|| {
+                let body = in_force.body.clone();
+                pack(&FromHive::Version { version, body })
+            });
+            forager.versions.sent(now, version);
+            out.push(Action::ToForager {
+                link: *link,
+                frame: frame.clone(),
+            });
+        }
+    }
+
+    pub(super) fn hear_forager(
+        &mut self,
+        link: LinkId,
+        message: FromForager,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(forager) = self.foragers.get_mut(&link) else {
             return;
         };
         forager.heard_at = now;
+        if let FromForager::Taken { version } = message {
+            forager.versions.taken(now, version);
+            return self.tell_versions(out);
+        }
         if self.contact.leftovers(now) {
             return; // it may have been met long ago
         }
@@ -91,7 +120,7 @@
                     self.misplaced(number);
                 }
             }
-            FromForager::Leaving => {}
+            FromForager::Leaving | FromForager::Taken { .. } => {}
         }
     }
 
@@ -243,9 +272,9 @@
         self.foragers.len() + fresh.map(|(count, _)| usize::from(count)).sum::<usize>()
     }
 
-    fn word(&self) -> FromHive {
+    fn word(&self, majority: bool) -> FromHive {
         FromHive::Pulse(Pulse {
-            majority: self.vouches(),
+            majority,
             foragers: u16::try_from(self.foragers_of_all()).unwrap_or(u16::MAX),
             hives: (self.membership.alive())
                 .map(|node| {
@@ -271,10 +300,26 @@
             self.renew(out);
         }
         self.vouched = self.vouches();
-        let word = self.word();
-        self.tell_foragers(&word, out);
+        self.tell_word(out);
         self.tell_count(out);
     }
+
+    /// Vouches to each forager that was told all that was in force as long ago as the lease is long.
+    fn tell_word(&self, out: &mut Vec<Action>) {
+        if self.foragers.is_empty() {
+            return;
+        }
+        let vouched = encode(&self.word(self.vouched));
+        let behind = encode(&self.word(false));
+        for (link, forager) in &self.foragers {
+            let current = forager.versions.behind(self.now) <= LEASE;
+            let frame = if current { &vouched } else { &behind };
+            out.push(Action::ToForager {
+                link: *link,
+                frame: frame.clone(),
+            });
+        }
+    }
 }
 
 /// Adds a line's readings to a sum.
--- a/crates/elderpond-hive/src/core/mod.rs
+++ b/crates/elderpond-hive/src/core/mod.rs
@@ -6,6 +6,7 @@
 mod others;
 mod policy;
 mod report;
+mod version_pace;
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -20,6 +21,7 @@
 use hashbrown::HashMap;
 
 pub use contact::{Contact, LEASE, LEFTOVERS};
+pub use version_pace::VersionPace;
 
 use crate::journal::{Journal, What};
 use crate::{Answer, Command, Millis};
@@ -232,6 +234,7 @@
     node: Ipv4Addr,
     zone: u16,
     heard_at: Millis,
+    versions: VersionPace,
 }
 
 #[derive(Debug, Default)]
@@ -248,8 +251,10 @@
 #[derive(Debug)]
 struct InForce {
     version: u64,
-    /// The frame that tells foragers.
-    frame: Bytes,
+    /// As the operator sent it.
+    body: Bytes,
+    /// The frame that tells foragers, once one was due.
+    frame: Option<Bytes>,
 }
 
 /// What is asked of a service.
@@ -430,7 +435,7 @@
             Event::HiveLinked(node) => self.linked(node, out),
             Event::FromHive { from, message } => self.hear_hive(from, message, out),
             Event::ForagerJoined { link, hello } => self.joined(link, hello, out),
-            Event::FromForager { link, message } => self.hear_forager(link, message),
+            Event::FromForager { link, message } => self.hear_forager(link, message, out),
             Event::ForagerLost { link } => self.lost(link),
             Event::Written { write, ok } => {
                 self.tell_replica(elderpond_consensus::Event::Written { write, ok }, out);
@@ -484,6 +489,7 @@
             self.batch_at = now + BATCH;
             self.batch(out);
         }
+        self.tell_versions(out);
         self.tell(out);
         if self.stopping && self.calls.is_empty() {
             match self.left {
--- a/crates/elderpond-hive/src/core/policy.rs
+++ b/crates/elderpond-hive/src/core/policy.rs
@@ -1,7 +1,7 @@
 //! Published weights: what nectar is told, and what it wants.
 
 use bytes::Bytes;
-use elderpond_control_wire::{FromHive, HiveToHive, Line, pack};
+use elderpond_control_wire::{FromHive, HiveToHive, Line};
 use elderpond_flora::Routes;
 use elderpond_nectar::{Condition, Load, Outcome, ServiceAims};
 use elderpond_registry::{Change, Life, Number, State};
@@ -61,9 +61,13 @@
             services.insert(cluster.name.clone(), asked);
         }
         self.services = services;
-        let frame = pack(&FromHive::Version { version, body });
-        self.send_foragers(&frame, out);
-        self.in_force = Some(InForce { version, frame });
+        let frame = None;
+        self.in_force = Some(InForce {
+            version,
+            body,
+            frame,
+        });
+        self.tell_versions(out);
     }
 
     /// Tells nectar how a life stands.
--- a/crates/elderpond-hive/src/lib.rs
+++ b/crates/elderpond-hive/src/lib.rs
@@ -24,7 +24,9 @@
 mod serve;
 
 pub use command::{Answer, Command};
-pub use core::{Action, Contact, Event, Hive, LEASE, LEFTOVERS, LinkId, Place, Ticket};
+pub use core::{
+    Action, Contact, Event, Hive, LEASE, LEFTOVERS, LinkId, Place, Ticket, VersionPace,
+};
 pub use error::ErrorKind;
 pub use journal::{Journal, Noted, What};
 pub use probe::{Probed, probe};
--- a/crates/elderpond-hive/tests/fleet/play.rs
+++ b/crates/elderpond-hive/tests/fleet/play.rs
@@ -380,6 +380,10 @@
             FromHive::Pulse(pulse) => Some(pulse.majority),
             _ => None,
         };
+        let taken = match &message {
+            FromHive::Version { version, .. } => Some(*version),
+            _ => None,
+        };
         it.hear(message);
         let told = it.version.max(it.offered);
         if vouches == Some(true) {
@@ -405,6 +409,19 @@
                 "{now}: begins with {told} where {due} was acknowledged"
             );
         }
+        if let Some(version) = taken {
+            self.say_taken(at, version);
+        }
+    }
+
+    fn say_taken(&mut self, at: usize, version: u64) {
+        let forager = &self.foragers[at];
+        if forager.quiet || forager.cuts.contains(&forager.hive) {
+            return;
+        }
+        let (hive, link) = (forager.hive, forager.link);
+        let message = FromForager::Taken { version };
+        self.tell(hive, Event::FromForager { link, message });
     }
 
     /// A forager begins to follow a hive, or one that lost its hive does so anew.
--- a/crates/elderpond-scale/src/foragers.rs
+++ b/crates/elderpond-scale/src/foragers.rs
@@ -221,7 +221,12 @@
                 read = stream.read_buf(&mut buffer) => {
                     anyhow::ensure!(read? > 0, "it closed the connection");
                     silent_at = Instant::now() + SILENCE;
+                    let before = *version;
                     while self.take_in(&mut buffer, version)? {}
+                    if *version > before {
+                        let taken = encode(&FromForager::Taken { version: *version });
+                        stream.write_all(&taken).await?;
+                    }
                     if buffer.is_empty() {
                         buffer = BytesMut::new(); // thousands share the memory
                     }
--- a/crates/elderpond-simulator/src/size/field.rs
+++ b/crates/elderpond-simulator/src/size/field.rs
@@ -493,7 +493,12 @@
         }
         it.follow.heard(now);
         match message {
-            FromHive::Version { version, .. } => it.version = it.version.max(version),
+            FromHive::Version { version, .. } => {
+                it.version = it.version.max(version);
+                let hive = it.link.map_or(0, |here| here.1);
+                let bee = (link % BEES) as usize;
+                self.say(bee, link, hive, FromForager::Taken { version });
+            }
             FromHive::Whole { settled, table } => it.patch.replace(now, settled, &table),
             FromHive::Change(change) => it.patch.change(now, &change),
             FromHive::Pulse(pulse) => it.follow.pulse(now, pulse.majority, &pulse.hives),
@@ -513,6 +518,12 @@
             lines,
             misplaced,
         };
+        self.say(bee, link, hive, message);
+        self.after(REPORT, Coming::Report(link));
+    }
+
+    /// A forager says something to its hive.
+    fn say(&mut self, bee: usize, link: LinkId, hive: usize, message: FromForager) {
         let bytes = encode(&message).len() as u64;
         let kind = from_forager(&message);
         self.tally.kinds.entry(kind).or_default().add(bytes, true);
@@ -523,7 +534,6 @@
             .or_default()
             .add(bytes, false);
         self.after(1, Coming::FromBee(link, hive, message));
-        self.after(REPORT, Coming::Report(link));
     }
 
     fn request(&mut self, bee: usize) {
--- a/crates/elderpond-simulator/src/size/tally.rs
+++ b/crates/elderpond-simulator/src/size/tally.rs
@@ -118,5 +118,6 @@
     match message {
         FromForager::Report { .. } => "report",
         FromForager::Leaving => "leaving",
+        FromForager::Taken { .. } => "taken",
     }
 }
--- a/crates/elderpond-simulator/src/world/foragers.rs
+++ b/crates/elderpond-simulator/src/world/foragers.rs
@@ -16,6 +16,16 @@
         it.ill = self.now;
     }
 
+    fn tell_hive(&mut self, forager: usize, link: LinkId, hive: usize, message: FromForager) {
+        let coming = Coming::FromForager {
+            forager,
+            link,
+            hive,
+            message,
+        };
+        self.stream(FORAGERS + forager, hive, link, coming);
+    }
+
     pub(super) fn drive_forager(&mut self, forager: usize) {
         let now = self.now;
         let it = &mut self.foragers[forager];
@@ -32,13 +42,7 @@
                 lines,
                 misplaced,
             };
-            let coming = Coming::FromForager {
-                forager,
-                link,
-                hive,
-                message,
-            };
-            self.stream(FORAGERS + forager, hive, link, coming);
+            self.tell_hive(forager, link, hive, message);
         }
         let it = &mut self.foragers[forager];
         if it.follow.due() > now && it.follow.node().is_some() {
@@ -145,6 +149,9 @@
                 if version > known || older {
                     it.offered = Some((version, body));
                 }
+                if let Some((link, hive)) = it.link {
+                    self.tell_hive(forager, link, hive, FromForager::Taken { version });
+                }
             }
             FromHive::Whole { settled, table } => {
                 it.table.replace(settled, &table);
