--- a/crates/elderpond-hive/src/core/follow.rs
+++ b/crates/elderpond-hive/src/core/follow.rs
@@ -58,13 +58,15 @@
 
     /// Sends the version in force to each forager that is due to be told a newer one.
     pub(super) fn tell_versions(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
+        let (now, catches_up) = (self.now, !self.vouches());
         let Some(in_force) = &mut self.in_force else {
             return;
         };
         let version = in_force.version;
         for (link, forager) in &mut self.foragers {
-            if !forager.versions.is_due(now, version) {
+            // What this hive learns before it vouches may be old: it goes out before the word that vouches.
+            let due = forager.versions.is_due(now, version);
+            if !due && !(catches_up && forager.versions.lacks(version)) {
                 continue;
             }
             let frame = in_force.frame.get_or_insert_with(|| {
--- a/crates/elderpond-hive/src/core/version_pace.rs
+++ b/crates/elderpond-hive/src/core/version_pace.rs
@@ -39,9 +39,15 @@
         }
     }
 
+    /// Whether it was not told that version.
+    #[must_use]
+    pub fn lacks(&self, version: u64) -> bool {
+        version > self.told
+    }
+
     /// Whether it is to be told `newest` now; if that has to wait, it is behind from now on.
     pub fn is_due(&mut self, now: Millis, newest: u64) -> bool {
-        if newest <= self.told {
+        if !self.lacks(newest) {
             return false;
         }
         let waits = self.sent_at.is_some_and(|at| now < at + UNANSWERED) || now < self.rest_until;
--- a/crates/elderpond-simulator/src/world/checks.rs
+++ b/crates/elderpond-simulator/src/world/checks.rs
@@ -39,6 +39,13 @@
             machine.lost_until > now || machine.condition != DiskCondition::Well
         };
         let sick = hives.iter().filter(sick).count();
+        let unable = |it: &&usize| {
+            let machine = &self.machines[**it];
+            machine.lost_until > now || !machine.condition.works()
+        };
+        if hives.iter().filter(unable).count() > self.story.hives / 2 {
+            self.ledger.overwhelmed = now;
+        }
         // Nobody is repaired by a disk that does not write: whoever is behind has its time after that.
         if hives.iter().any(|it| !self.machines[*it].condition.works()) {
             for it in &hives {
