--- a/crates/elderpond-consensus/src/acceptor.rs
+++ b/crates/elderpond-consensus/src/acceptor.rs
@@ -2,8 +2,9 @@
 
 use std::net::Ipv4Addr;
 
+use crate::ballots::STEP;
 use crate::numbers::Ledger;
-use crate::replica::{Replica, STEP};
+use crate::replica::Replica;
 use crate::types::{Ballot, Digest, Held, Message, Mutant, Tag};
 
 impl Replica {
--- a/crates/elderpond-consensus/src/lib.rs
+++ b/crates/elderpond-consensus/src/lib.rs
@@ -25,8 +25,11 @@
 //! does.
 
 mod acceptor;
+mod ballots;
+mod dispatch;
 mod handover;
 mod learner;
+mod marking;
 mod marks;
 mod numbers;
 mod proposer;
@@ -34,8 +37,10 @@
 mod reconfiguration;
 mod repair;
 mod replica;
+mod state_transfer;
 mod types;
 mod voter_selection;
+mod writing;
 
 pub use replica::Replica;
 #[doc(hidden)]
--- a/crates/elderpond-consensus/src/proposer.rs
+++ b/crates/elderpond-consensus/src/proposer.rs
@@ -5,7 +5,8 @@
 
 use bytes::Bytes;
 
-use crate::replica::{Replica, epoch_of};
+use crate::ballots::epoch_of;
+use crate::replica::Replica;
 use crate::types::{Action, Ballot, Digest, Held, Message, Millis, Mutant, Refusal, Tag};
 
 /// The bodies of all proposals together are no longer (bytes): eight of the longest.
--- a/crates/elderpond-consensus/src/reads.rs
+++ b/crates/elderpond-consensus/src/reads.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-use crate::replica::{Replica, epoch_of};
+use crate::ballots::epoch_of;
+use crate::replica::Replica;
 use crate::types::{Action, Message, Millis, Refusal, Tag};
 
 /// A look for the newest version.
--- a/crates/elderpond-consensus/src/replica.rs
+++ b/crates/elderpond-consensus/src/replica.rs
@@ -5,42 +5,23 @@
 use std::net::Ipv4Addr;
 
 use crate::handover::Farewell;
+use crate::marking::Marking;
 use crate::marks::Marks;
 use crate::numbers::Ledger;
 use crate::proposer::{Proposal, Waiting};
 use crate::reads::ReadQuorum;
-use crate::reconfiguration::{SetProposal, Transfer};
+use crate::reconfiguration::SetProposal;
 use crate::repair::{Lent, Pull, Walk, same};
+use crate::state_transfer::Transfer;
 use crate::types::{
-    Action, Ballot, Beat, Event, Found, Head, Held, Mark, Message, Millis, Mutant, Record, Refusal,
-    Rules, Status, Stored, Tag, Voter, VoterSet, VoterStatus,
+    Action, Ballot, Beat, Event, Found, Held, Message, Millis, Mutant, Record, Rules, Status,
+    Stored, Tag, Voter, VoterSet, VoterStatus,
 };
 use bytes::Bytes;
 
-/// Answers waiting for a write; repeated questions are not answered twice, so this is far from reached.
-const OWED: usize = 4_096;
-
 /// That a machine leaves is remembered for so long, unless it comes back or another tells it again (ms).
 const LEAVING_REMEMBERED: Millis = 16_000;
 
-/// Bits of a round that count attempts; those above hold the epoch.
-const ROUNDS: u32 = 48;
-/// From this epoch on, each has fewer rounds: so that there are epochs for good.
-const MANY: u64 = 1 << 15;
-/// Bits of a round in epochs from there on.
-const FEWER: u32 = 40;
-/// Bits of a round that a start and a promise above the ceiling skip.
-pub(crate) const STEP: u32 = 16;
-
-/// The epoch in which that ballot was made.
-pub(crate) fn epoch_of(ballot: Ballot) -> u64 {
-    let many = MANY << ROUNDS;
-    match ballot.round.checked_sub(many) {
-        Some(above) => MANY + (above >> FEWER),
-        None => ballot.round >> ROUNDS,
-    }
-}
-
 /// For so many beats after a machine came with another disk, its former one is not believed.
 pub(crate) const LATE: Millis = 4;
 
@@ -66,16 +47,6 @@
     }
 }
 
-#[derive(Clone, Hash)]
-struct Marking {
-    id: u64,
-    ticket: u64,
-    mark: Mark,
-    until: Millis,
-    again: Millis,
-    stored: BTreeSet<Ipv4Addr>,
-}
-
 /// One hive's part in what a majority holds. Give it events in any order; do its actions in theirs.
 #[derive(Clone, Hash)]
 pub struct Replica {
@@ -85,7 +56,7 @@
     pub(crate) me: Ipv4Addr,
     pub(crate) disk: u64,
     pub(crate) life: u64,
-    random: u64,
+    pub(crate) random: u64,
     pub(crate) seeds: Vec<Ipv4Addr>,
     pub(crate) alive: BTreeSet<Ipv4Addr>,
     pub(crate) leaving: BTreeMap<Ipv4Addr, Millis>,
@@ -129,23 +100,23 @@
     pub(crate) walk: Option<Walk>,
     // Marks.
     pub(crate) marks: Marks,
-    marking: Vec<Marking>,
+    pub(crate) marking: Vec<Marking>,
     // Writing.
     pub(crate) head_dirty: bool,
     pub(crate) held_dirty: bool,
-    next_write: u64,
-    outstanding: Option<(u64, Millis, Record)>,
-    rewrite_at: Option<Millis>,
-    formatted: bool,
-    durable: u64,
+    pub(crate) next_write: u64,
+    pub(crate) outstanding: Option<(u64, Millis, Record)>,
+    pub(crate) rewrite_at: Option<Millis>,
+    pub(crate) formatted: bool,
+    pub(crate) durable: u64,
     /// The newest held as it is on disk.
-    on_disk: Option<Tag>,
-    owed_now: Vec<(Ipv4Addr, Message)>,
-    owed_next: Vec<(Ipv4Addr, Message)>,
+    pub(crate) on_disk: Option<Tag>,
+    pub(crate) owed_now: Vec<(Ipv4Addr, Message)>,
+    pub(crate) owed_next: Vec<(Ipv4Addr, Message)>,
     // Saying.
-    beat_at: Millis,
+    pub(crate) beat_at: Millis,
     pub(crate) beat_soon: bool,
-    local: VecDeque<Message>,
+    pub(crate) local: VecDeque<Message>,
     pub(crate) out: Vec<Action>,
 }
 
@@ -489,32 +460,6 @@
         }
     }
 
-    /// Ballots of this set have higher rounds, those of older sets lower ones.
-    pub(crate) fn least_round(&self) -> u64 {
-        let epoch = self.epoch();
-        let late = epoch.saturating_sub(MANY).min((1 << (64 - FEWER - 1)) - 1);
-        (epoch.min(MANY) << ROUNDS) + (late << FEWER)
-    }
-
-    /// Above all ballots of older sets, of which the members of this one need not have heard: what one voter
-    /// of an older set was left with never beats what this set decides.
-    pub(crate) fn next_ballot(&mut self) -> Ballot {
-        self.round = self.round.max(self.least_round()) + 1;
-        Ballot {
-            round: self.round,
-            node: self.me.into(),
-            life: self.life,
-        }
-    }
-
-    /// The newest held as it is on disk, and the digest of all marks if all of them are.
-    pub(crate) fn on_disk(&self) -> (Option<Tag>, u64) {
-        let written = |record: &Record| record.marks.is_empty() && record.dropped.is_empty();
-        let outstanding = self.outstanding.as_ref();
-        let marks = !self.marks_dirty() && outstanding.is_none_or(|it| written(&it.2));
-        (self.on_disk, if marks { self.marks.digest() } else { 0 })
-    }
-
     /// How many ids were drawn in this life.
     pub(crate) fn ids_drawn(&self) -> u64 {
         self.next_id
@@ -581,113 +526,6 @@
         !fenced && self.is_active()
     }
 
-    /// Sends once all is durable that is held now.
-    pub(crate) fn send_durable(&mut self, to: Ipv4Addr, message: Message) {
-        let dirty = self.is_dirty();
-        if self.mutated(Mutant::BeforeTheSync) {
-            return self.send(to, message);
-        }
-        let owed = if dirty {
-            &mut self.owed_next
-        } else if self.outstanding.is_some() || self.rewrite_at.is_some() {
-            &mut self.owed_now
-        } else {
-            return self.send(to, message);
-        };
-        if owed.len() < OWED
-            && !owed
-                .iter()
-                .any(|(who, what)| *who == to && *what == message)
-        {
-            owed.push((to, message));
-        }
-    }
-
-    fn is_dirty(&self) -> bool {
-        self.head_dirty || self.held_dirty || self.marks_dirty() || self.ledger.is_dirty()
-    }
-
-    fn marks_dirty(&self) -> bool {
-        !self.marks.dirty.is_empty() || !self.marks.dropped.is_empty()
-    }
-
-    /// Hands out what is to be written, one write at a time: what changes meanwhile goes into the next.
-    fn write(&mut self) {
-        let dirty = self.is_dirty();
-        if !dirty || self.outstanding.is_some() || self.rewrite_at.is_some_and(|at| self.now < at) {
-            return;
-        }
-        self.rewrite_at = None;
-        let mut record = Record::default();
-        if take(&mut self.head_dirty) {
-            record.head = Some(Head {
-                disk: self.disk,
-                set: self.set.clone(),
-                active_in: self.active_in,
-                ceiling: self.ceiling,
-                promised: self.promised,
-                accepted: self.accepted.clone(),
-                committed: self.force.as_ref().map(|held| held.tag),
-            });
-        }
-        if take(&mut self.held_dirty) {
-            record.held = self.held.clone();
-        }
-        record.marks = take(&mut self.marks.dirty)
-            .iter()
-            .filter_map(|key| self.marks.get(key).cloned())
-            .collect();
-        record.dropped = take(&mut self.marks.dropped).into_iter().collect();
-        self.marks.handed_out();
-        record.numbers = self.ledger.changes();
-        self.owed_now.append(&mut self.owed_next);
-        self.next_write += 1;
-        let write = self.next_write;
-        self.outstanding = Some((write, self.now, record.clone()));
-        self.out.push(Action::Write { write, record });
-    }
-
-    fn written(&mut self, write: u64, ok: bool) {
-        let Some((_, _, record)) = self
-            .outstanding
-            .take_if(|(outstanding, ..)| *outstanding == write)
-        else {
-            return;
-        };
-        if !ok {
-            self.out.push(Action::Log(
-                "a write to the replica's disk failed; it is tried again".into(),
-            ));
-            self.head_dirty |= record.head.is_some();
-            self.held_dirty |= record.held.is_some();
-            self.marks.not_written(record.marks, record.dropped);
-            if let Some(numbers) = record.numbers {
-                self.ledger.write_again(&numbers);
-            }
-            self.rewrite_at = Some(self.now + self.rules.rewrite);
-            // All that is owed waits for the next write.
-            let mut owed = take(&mut self.owed_now);
-            owed.append(&mut self.owed_next);
-            self.owed_next = owed;
-            return;
-        }
-        self.marks.written();
-        if let Some(head) = record.head {
-            self.ceiling_durable = head.ceiling;
-            if !self.formatted {
-                self.formatted = true;
-                self.beat_soon = true;
-            }
-        }
-        if let Some(held) = record.held {
-            self.durable = self.durable.max(held.tag.version);
-            self.on_disk = Some(held.tag);
-        }
-        for (to, message) in take(&mut self.owed_now) {
-            self.send(to, message);
-        }
-    }
-
     pub(crate) fn beat(&self) -> Message {
         Message::Beat(Box::new(Beat {
             disk: (self.formatted && !self.ending).then_some(self.disk),
@@ -760,177 +598,7 @@
         }
     }
 
-    pub(crate) fn message(&mut self, from: Ipv4Addr, message: Message) {
-        match message {
-            Message::Beat(beat) => self.on_beat(from, *beat),
-            Message::Prepare {
-                epoch,
-                version,
-                ballot,
-            } => self.on_prepare(from, epoch, version, ballot),
-            Message::Promise {
-                epoch,
-                disk,
-                version,
-                ballot,
-                held,
-            } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_promise(from, version, ballot, held);
-                }
-            }
-            Message::Nack {
-                epoch,
-                version,
-                ballot,
-                round,
-                above,
-            } => {
-                if epoch == self.epoch() {
-                    self.on_nack(from, version, ballot, round, above);
-                }
-            }
-            Message::Accept { epoch, held } => self.on_accept(from, epoch, held),
-            Message::Accepted {
-                epoch,
-                disk,
-                version,
-                ballot,
-            } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_accepted(from, version, ballot);
-                }
-            }
-            Message::Commit(tag) => self.learn(tag, None, from),
-            Message::Fetch(tag) => self.on_fetch(from, tag),
-            Message::Body { held, committed } => self.on_body(from, held, committed),
-            Message::Read { epoch, id } => {
-                if self.votes_in(from, epoch) {
-                    let reply = self.read_reply(id);
-                    self.send(from, reply);
-                }
-            }
-            Message::Confirm { epoch, id, marks } => {
-                if self.votes_in(from, epoch) {
-                    let alike = marks == self.marks.digest();
-                    let reply = Box::new(self.read_reply(id));
-                    self.send(from, Message::Confirmed { alike, reply });
-                }
-            }
-            Message::Confirmed { alike, reply } => self.on_confirmed(from, alike, *reply),
-            Message::ReadReply {
-                epoch,
-                disk,
-                id,
-                held,
-                written,
-                committed,
-            } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_read_reply(from, id, held, written, committed);
-                }
-            }
-            Message::MarkStore { epoch, id, mark } => {
-                // Learnt in any case; held to count only by a voter.
-                self.join(mark);
-                if self.votes_in(from, epoch) {
-                    self.send_durable(
-                        from,
-                        Message::MarkStored {
-                            epoch,
-                            disk: self.disk,
-                            id,
-                        },
-                    );
-                }
-            }
-            Message::MarkStored { epoch, disk, id } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_mark_stored(from, id);
-                }
-            }
-            Message::MarksAsk => self.tell_marks(from),
-            Message::Marks(marks) => marks.into_iter().for_each(|mark| self.join(mark)),
-            Message::PrepareSet { epoch, ballot } => self.on_prepare_set(from, epoch, ballot),
-            Message::PromiseSet {
-                epoch,
-                disk,
-                ballot,
-                accepted,
-            } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_promise_set(from, ballot, accepted);
-                }
-            }
-            Message::AcceptSet {
-                epoch,
-                ballot,
-                voters,
-            } => self.on_accept_set(from, epoch, ballot, voters),
-            Message::AcceptedSet {
-                epoch,
-                disk,
-                ballot,
-            } => {
-                if self.counts(from, epoch, disk) {
-                    self.on_accepted_set(from, ballot);
-                }
-            }
-            Message::NackSet { epoch, round } => self.on_nack_set(epoch, round),
-            Message::StateRequest { set, held, marks } => {
-                self.on_state_request(from, set, held, marks)
-            }
-            Message::StateReply {
-                epoch,
-                disk,
-                active_in,
-                held,
-                committed,
-                marks,
-            } => {
-                self.on_state_reply(from, epoch, disk, active_in, held, committed, marks);
-            }
-            Message::Offer { epoch, tag, size } => self.on_offer(from, epoch, tag, size),
-            Message::PieceAsk { tag, at, length } => self.on_piece_ask(from, tag, at, length),
-            Message::Piece {
-                tag,
-                committed,
-                size,
-                at,
-                bytes,
-            } => self.on_piece(from, tag, committed, size, at, &bytes),
-            Message::MarksDiffer { id, sums, after } => {
-                self.on_marks_differ(from, id, &sums, after.as_ref());
-            }
-            Message::MarksPage {
-                id,
-                disk,
-                marks,
-                next,
-            } => self.on_marks_page(from, id, disk, marks, next),
-            Message::StateSummary {
-                epoch,
-                disk,
-                active_in,
-                held,
-                committed,
-                marks,
-            } => self.on_state_summary(from, epoch, disk, active_in, held, committed, marks),
-            Message::PrepareNumber {
-                epoch,
-                version,
-                ballot,
-            } => self.on_prepare_number(from, epoch, version, ballot),
-            Message::AcceptNumber { epoch, tag } => self.on_accept_number(from, epoch, tag),
-            Message::State {
-                epoch,
-                numbers,
-                state,
-            } => self.on_state(from, epoch, numbers, *state),
-        }
-    }
-
-    fn on_beat(&mut self, from: Ipv4Addr, beat: Beat) {
+    pub(crate) fn on_beat(&mut self, from: Ipv4Addr, beat: Beat) {
         self.round = self.round.max(beat.round);
         let theirs = beat.set.as_ref().map_or(0, |set| set.epoch);
         if theirs < self.epoch() {
@@ -973,101 +641,11 @@
         }
     }
 
-    pub(crate) fn join(&mut self, mark: Mark) {
-        let (key, value) = (mark.key.clone(), mark.value.clone());
-        if self.marks.join(mark, self.rules.marks) {
-            self.out.push(Action::MarkLearned { key, value });
-        }
-    }
-
-    fn mark(&mut self, ticket: u64, key: String, value: Vec<u8>) {
-        if self.marking.len() >= self.rules.requests {
-            return self.out.push(Action::Refused {
-                ticket,
-                why: Refusal::Unavailable,
-            });
-        }
-        let order = match self.marks.get(&key) {
-            Some(old) if old.value == value => old.order,
-            _ => self.marks.next_order(),
-        };
-        let mark = Mark { order, key, value };
-        self.join(mark.clone());
-        let (id, until) = (self.next_id(), self.now + self.rules.patience);
-        let again = self.now + self.rules.retry;
-        self.marking.push(Marking {
-            id,
-            ticket,
-            mark: mark.clone(),
-            until,
-            again,
-            stored: BTreeSet::new(),
-        });
-        self.send_voters(&Message::MarkStore {
-            epoch: self.epoch(),
-            id,
-            mark,
-        });
-    }
-
-    fn on_mark_stored(&mut self, from: Ipv4Addr, id: u64) {
-        let majority = self.majority();
-        let Some(at) = self.marking.iter().position(|marking| marking.id == id) else {
-            return;
-        };
-        self.marking[at].stored.insert(from);
-        if self.marking[at].stored.len() >= majority {
-            let done = self.marking.swap_remove(at);
-            self.out.push(Action::Acknowledged {
-                ticket: done.ticket,
-            });
-            let voters: BTreeSet<_> = self.voters().iter().map(|voter| voter.node).collect();
-            for node in self.company() {
-                if !voters.contains(&node) {
-                    self.send(node, Message::Marks(vec![done.mark.clone()]));
-                }
-            }
-        }
-    }
-
-    fn tick_marks(&mut self) {
-        let (now, retry, epoch) = (self.now, self.rules.retry, self.epoch());
-        let out = &mut self.out;
-        self.marking.retain(|marking| {
-            if now >= marking.until {
-                out.push(Action::Refused {
-                    ticket: marking.ticket,
-                    why: Refusal::Unavailable,
-                });
-            }
-            now < marking.until
-        });
-        let mut sends = Vec::new();
-        for marking in &mut self.marking {
-            if now >= marking.again {
-                marking.again = now + retry;
-                let message = Message::MarkStore {
-                    epoch,
-                    id: marking.id,
-                    mark: marking.mark.clone(),
-                };
-                sends.push((marking.stored.clone(), message));
-            }
-        }
-        let voters: Vec<_> = self.voters().iter().map(|voter| voter.node).collect();
-        for (stored, message) in sends {
-            for &node in voters.iter().filter(|node| !stored.contains(*node)) {
-                self.send(node, message.clone());
-            }
-        }
-    }
-
     /// Starts all that is in flight again, for a new set.
     pub(crate) fn restart_requests(&mut self) {
         let now = self.now;
         for marking in &mut self.marking {
-            marking.stored.clear();
-            marking.again = now;
+            marking.restart(now);
         }
         for proposal in self.proposals.values_mut() {
             proposal.idle(now);
