--- a/crates/elderpond-consensus/tests/replacements.rs
+++ b/crates/elderpond-consensus/tests/replacements.rs
@@ -177,7 +177,9 @@
     borne: u8,
     kinds: &[Loss],
 ) {
-    for seed in 0..12 {
+    let wished = std::env::var("LOSS_SEEDS").ok();
+    let seeds = wished.and_then(|seeds| seeds.parse().ok()).unwrap_or(12);
+    for seed in 0..seeds {
         lost_in_a_row(seed, borne, kinds);
     }
 }
