--- a/crates/elderpond-apiary/src/check/mod.rs
+++ b/crates/elderpond-apiary/src/check/mod.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 use argh::{ArgsInfo, FromArgs};
-use elderpond_skep::{SkepError, VARIABLE};
+use elderpond_process_settings::{ProcessSettingsError, VARIABLE};
 
 use crate::outcome::{Outcome, Told, wrong};
 
@@ -76,7 +76,7 @@
         );
         files.extend(self.deploy.map(|path| (path, deploy::look as _)));
         if files.is_empty() {
-            let path = std::env::var_os(VARIABLE).ok_or(SkepError::Unnamed)?;
+            let path = std::env::var_os(VARIABLE).ok_or(ProcessSettingsError::Unnamed)?;
             files.push((path.into(), settings::look));
         }
         let mut faults = 0;
--- a/crates/elderpond-apiary/src/check/settings.rs
+++ b/crates/elderpond-apiary/src/check/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use elderpond_skep::Skep;
+use elderpond_process_settings::ProcessSettings;
 use serde_json::Value;
 use validator::{Validate, ValidationErrors, ValidationErrorsKind};
 
@@ -27,14 +27,16 @@
         return found;
     }
     mend::misspelt(&value, &template, &mut Vec::new(), &mut found.notes);
-    if let Some(skep) = mend::read::<Skep>(&mut value, &template, &mut found.faults) {
-        if let Err(errors) = skep.validate() {
+    if let Some(process_settings) =
+        mend::read::<ProcessSettings>(&mut value, &template, &mut found.faults)
+    {
+        if let Err(errors) = process_settings.validate() {
             flatten("", &errors, &mut found.faults);
         }
-        needs(&value, &skep, &mut found.faults);
+        needs(&value, &process_settings, &mut found.faults);
     }
     if found.faults.is_empty()
-        && let Err(error) = Skep::parse(path, text)
+        && let Err(error) = ProcessSettings::parse(path, text)
     {
         found.faults.push(fault("", error.to_string()));
     }
@@ -48,10 +50,10 @@
 }
 
 /// What the roles need that others do not.
-fn needs(value: &Value, skep: &Skep, faults: &mut Vec<Fault>) {
+fn needs(value: &Value, process_settings: &ProcessSettings, faults: &mut Vec<Fault>) {
     let serves = value.get("serves").and_then(Value::as_array);
     let serves = |what: &str| serves.is_some_and(|it| it.iter().any(|it| it == what));
-    let listen = &skep.listen_addresses;
+    let listen = &process_settings.listen_addresses;
     let wanted = [
         ("front_proxy", "front-http", listen.front_http.is_none()),
         ("front_proxy", "readiness", listen.readiness.is_none()),
@@ -63,7 +65,7 @@
             faults.push(fault(format!("listen-addresses.{name}"), what));
         }
     }
-    if skep.seed_nodes.is_empty() {
+    if process_settings.seed_nodes.is_empty() {
         let what = "is empty: nobody would be found; name the control address of a hive";
         faults.push(fault("seed-nodes", what));
     }
--- a/crates/elderpond-apiary/src/outcome.rs
+++ b/crates/elderpond-apiary/src/outcome.rs
@@ -1,6 +1,6 @@
 //! How a verb ends, and the status that the program ends with.
 
-use elderpond_skep::SkepError;
+use elderpond_process_settings::ProcessSettingsError;
 
 /// It could not be done.
 pub const FAILED: u8 = 1;
@@ -33,7 +33,7 @@
 
 /// The status for an error.
 pub fn status(error: &anyhow::Error) -> u8 {
-    if error.is::<SkepError>() || error.is::<Wrong>() {
+    if error.is::<ProcessSettingsError>() || error.is::<Wrong>() {
         TOLD_WRONG
     } else {
         FAILED
--- a/crates/elderpond-apiary/src/run.rs
+++ b/crates/elderpond-apiary/src/run.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use argh::{ArgsInfo, FromArgs};
-use elderpond_skep::Followed;
+use elderpond_process_settings::Followed;
 
 use crate::outcome::{Outcome, Told};
 
@@ -31,8 +31,8 @@
 impl Hive {
     /// Runs until told to end.
     pub fn run(self) -> Told {
-        let (file, skep) = Followed::open(self.settings.as_deref())?;
-        elderpond_hive::run(file, skep)?;
+        let (file, process_settings) = Followed::open(self.settings.as_deref())?;
+        elderpond_hive::run(file, process_settings)?;
         Ok(Outcome::Done)
     }
 }
@@ -40,8 +40,8 @@
 impl Forager {
     /// Runs until told to end.
     pub fn run(self) -> Told {
-        let (file, skep) = Followed::open(self.settings.as_deref())?;
-        elderpond_forager::run(file, skep, self.tenants)?;
+        let (file, process_settings) = Followed::open(self.settings.as_deref())?;
+        elderpond_forager::run(file, process_settings, self.tenants)?;
         Ok(Outcome::Done)
     }
 }
--- a/crates/elderpond-consensus/src/state_transfer.rs
+++ b/crates/elderpond-consensus/src/state_transfer.rs
@@ -1,7 +1,7 @@
 //! How a member of a new set of voters takes over what the set before it held.
 //!
-//! It asks all members of both sets, and votes once it holds what a majority of the old set held when they knew
-//! of the new one, or all that one holds which votes in the new set already.
+//! It asks all members of both sets, and votes once it holds what a majority of the old set held when they
+//! knew of the new one, or all that one holds which votes in the new set already.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
--- a/crates/elderpond-consensus/src/types.rs
+++ b/crates/elderpond-consensus/src/types.rs
@@ -295,8 +295,8 @@
     },
     /// Find out whether the newest configuration is in force here and all marks are, and change nothing. It
     /// ends as a read does, once what is in force here is no older than all that was acknowledged before it
-    /// began, and all marks are here that were acknowledged before it began; unlike a read it ends no proposal
-    /// that it meets, so it may be asked for at any pace.
+    /// began, and all marks are here that were acknowledged before it began; unlike a read it ends no
+    /// proposal that it meets, so it may be asked for at any pace.
     Confirm {
         /// Names the request in its answer.
         ticket: u64,
--- a/crates/elderpond-consensus/src/voter_selection.rs
+++ b/crates/elderpond-consensus/src/voter_selection.rs
@@ -3,8 +3,8 @@
 //! One rule, without state, clock or I/O:
 //!
 //! 1. A voter whose machine came back with another disk is replaced by that disk.
-//! 2. A voter that leaves, or is down, is replaced by a spare machine in the same step. Nobody votes beside the
-//!    one that it stands in for: the set never grows to an even size because a voter was lost.
+//! 2. A voter that leaves, or is down, is replaced by a spare machine in the same step. Nobody votes beside
+//!    the one that it stands in for: the set never grows to an even size because a voter was lost.
 //! 3. Without a spare, a voter that leaves is dropped if enough voters remain; one that is down is dropped if
 //!    enough reachable voters remain and their number is odd.
 //! 4. Spares that replace nobody join so that the number of voters is odd: an even set needs a larger
@@ -82,8 +82,8 @@
         unreplaced
     }
 
-    /// Which of those who are down keep their vote beside so many others: all, while fewer than the minimum would
-    /// be left; else at most one, which makes the number odd.
+    /// Which of those who are down keep their vote beside so many others: all, while fewer than the minimum
+    /// would be left; else at most one, which makes the number odd.
     fn kept_although_down(&self, others: usize, down: Vec<Voter>) -> Vec<Voter> {
         let kept = match others < self.minimum {
             true => down.len(),
--- a/crates/elderpond-consensus/tests/voter_selection.rs
+++ b/crates/elderpond-consensus/tests/voter_selection.rs
@@ -21,7 +21,8 @@
     }
 }
 
-/// `s` stays, `r` is reformatted, `l` leaves, `d` is down; machines are numbered from 1, spares go on from there.
+/// `s` stays, `r` is reformatted, `l` leaves, `d` is down; machines are numbered from 1, spares go on from
+/// there.
 fn select(standings: &str, spares: u8, minimum: usize) -> Vec<Voter> {
     let standing = |(n, letter): (u8, char)| match letter {
         's' => (voter(n), Standing::Stays),
--- a/crates/elderpond-forager/src/ending.rs
+++ b/crates/elderpond-forager/src/ending.rs
@@ -1,8 +1,8 @@
 //! How a process that was told to end spends its grace period.
 //!
 //! It goes on serving while clients and the platform learn that it ends. A request that could not be answered
-//! before the process is gone is refused, so that its client tries elsewhere with time left: taken and then cut,
-//! it would be lost.
+//! before the process is gone is refused, so that its client tries elsewhere with time left: taken and then
+//! cut, it would be lost.
 
 use std::time::Duration;
 
--- a/crates/elderpond-forager/src/lib.rs
+++ b/crates/elderpond-forager/src/lib.rs
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use elderpond_skep::{Followed, Skep, SkepError, Tenants};
+use elderpond_process_settings::{Followed, ProcessSettings, ProcessSettingsError, Tenants};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -60,21 +60,25 @@
 ///
 /// A settings file that lacks what the role needs, a file of tenants that can't be used, or an
 /// address that can't be listened at.
-pub fn run(settings: Followed, skep: Skep, tenants: Option<PathBuf>) -> anyhow::Result<()> {
+pub fn run(
+    settings: Followed,
+    process_settings: ProcessSettings,
+    tenants: Option<PathBuf>,
+) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, process(settings, skep, tenants))
+    LocalSet::new().block_on(&runtime, process(settings, process_settings, tenants))
 }
 
 async fn process(
     mut settings: Followed,
-    skep: Skep,
+    process_settings: ProcessSettings,
     tenants: Option<PathBuf>,
 ) -> anyhow::Result<()> {
     let owned = tenants.as_deref().map(Tenants::read).transpose()?;
-    let missing = |field| SkepError::Missing(settings.path().to_owned(), field);
-    let listen = &skep.listen_addresses;
+    let missing = |field| ProcessSettingsError::Missing(settings.path().to_owned(), field);
+    let listen = &process_settings.listen_addresses;
     let front = (listen.front_http).ok_or_else(|| missing("listen-addresses.front-http"))?;
     let ready = (listen.readiness).ok_or_else(|| missing("listen-addresses.readiness"))?;
     let (mut term, mut hangup) = (
@@ -87,9 +91,9 @@
     };
     log::info!(
         "forager {} in zone {} serves at {front}; hives are sought by {:?}",
-        skep.node_name,
-        skep.zone,
-        skep.seeds()
+        process_settings.node_name,
+        process_settings.zone,
+        process_settings.seeds()
     );
     let (tell, told) = mpsc::unbounded_channel();
     if let Some(owned) = owned {
@@ -111,8 +115,8 @@
                 None => {}
             }
             match settings.changed(hup) {
-                Ok(Some(skep)) => {
-                    let _ = tell.send(Told::Seeds(skep.seeds()));
+                Ok(Some(process_settings)) => {
+                    let _ = tell.send(Told::Seeds(process_settings.seeds()));
                 }
                 Ok(None) => {}
                 Err(error) => log::warn!("the old settings go on: {error}"),
@@ -120,16 +124,20 @@
         }
         let _ = tell.send(Told::Stop);
     });
-    serve(skep, doors, told).await;
+    serve(process_settings, doors, told).await;
     Ok(())
 }
 
 /// Serves until told to stop, and until what is in hand then is answered. Has to run in a
 /// [`LocalSet`].
-pub async fn serve(skep: Skep, doors: Doors, mut told: mpsc::UnboundedReceiver<Told>) {
-    let grace = Duration::from_secs_f64(skep.bounds.grace_period_s);
-    let shared = Rc::new(Shared::new(&skep));
-    tokio::task::spawn_local(link::follow(shared.clone(), skep));
+pub async fn serve(
+    process_settings: ProcessSettings,
+    doors: Doors,
+    mut told: mpsc::UnboundedReceiver<Told>,
+) {
+    let grace = Duration::from_secs_f64(process_settings.bounds.grace_period_s);
+    let shared = Rc::new(Shared::new(&process_settings));
+    tokio::task::spawn_local(link::follow(shared.clone(), process_settings));
     tokio::task::spawn_local(front::readiness(shared.clone(), doors.readiness));
     tokio::task::spawn_local(front::sweep(shared.clone()));
     let clients = tokio::task::spawn_local(front::clients(shared.clone(), doors.front));
--- a/crates/elderpond-forager/src/link.rs
+++ b/crates/elderpond-forager/src/link.rs
@@ -6,7 +6,7 @@
 use elderpond_control_wire::{Frames, FromForager, FromHive, Hello, Link, encode, unpack};
 use elderpond_flora::Routes;
 use elderpond_forage::{Millis, Step};
-use elderpond_skep::Skep;
+use elderpond_process_settings::ProcessSettings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -20,7 +20,7 @@
 const NAP: Millis = 500;
 
 /// Follows one hive after the other, for ever.
-pub async fn follow(shared: Rc<Shared>, skep: Skep) {
+pub async fn follow(shared: Rc<Shared>, process_settings: ProcessSettings) {
     let life = shared.chance.borrow_mut().draw();
     loop {
         let now = shared.now();
@@ -28,13 +28,13 @@
         match step {
             Step::Dial(node) => {
                 let hello = Hello {
-                    node: skep.ip_address,
-                    zone: skep.zone.clone(),
+                    node: process_settings.ip_address,
+                    zone: process_settings.zone.clone(),
                     life,
                     version: (shared.routes.borrow().as_ref()).map_or(0, |it| it.version.0),
                     departed: shared.patch.borrow().departed(DEPARTED),
                 };
-                let dial = TcpStream::connect((node, skep.inner_port()));
+                let dial = TcpStream::connect((node, process_settings.inner_port()));
                 let dial = tokio::time::timeout(Duration::from_millis(400), dial).await;
                 if let Ok(Ok(stream)) = dial {
                     shared.follow.borrow_mut().joined(shared.now(), node);
--- a/crates/elderpond-forager/src/rooms.rs
+++ b/crates/elderpond-forager/src/rooms.rs
@@ -11,7 +11,7 @@
 use ahash::RandomState;
 use elderpond_flora::{Route, Routes};
 use elderpond_forage::Millis;
-use elderpond_skep::Tenants;
+use elderpond_process_settings::Tenants;
 use elderpond_space::{Party, Places, RANKS, Refusal, Space, Tenant};
 use hashbrown::HashMap;
 use serde::Serialize;
--- a/crates/elderpond-forager/src/shared.rs
+++ b/crates/elderpond-forager/src/shared.rs
@@ -9,7 +9,7 @@
 use ahash::RandomState;
 use elderpond_flora::{Limits, Routes};
 use elderpond_forage::{Budget, Chance, Follow, Means, Millis, Patch, Taste};
-use elderpond_skep::{Skep, Tenants};
+use elderpond_process_settings::{ProcessSettings, Tenants};
 use hashbrown::HashMap;
 use tokio::sync::watch;
 
@@ -64,7 +64,7 @@
 const OTHERS: usize = 16;
 
 /// What a process may use of its machine.
-fn room(limits: &elderpond_skep::Limits) -> Sizes {
+fn room(limits: &elderpond_process_settings::Limits) -> Sizes {
     let sockets = limits.file_descriptors.saturating_sub(FILES + OTHERS);
     let clients = (sockets * 5 / 8).max(16);
     Sizes {
@@ -87,19 +87,23 @@
 
 impl Shared {
     /// For a process that starts now.
-    pub fn new(skep: &Skep) -> Self {
-        let seed = u64::from(skep.ip_address.to_bits()) << 32 ^ u64::from(std::process::id());
-        let bounds = &skep.bounds;
+    pub fn new(process_settings: &ProcessSettings) -> Self {
+        let seed =
+            u64::from(process_settings.ip_address.to_bits()) << 32 ^ u64::from(std::process::id());
+        let bounds = &process_settings.bounds;
         let taste = Taste {
             seed,
             ..Taste::default()
         };
-        let room = room(&skep.limits);
+        let room = room(&process_settings.limits);
         Self {
             started: Instant::now(),
-            patch: RefCell::new(Patch::new(&skep.zone, taste)),
+            patch: RefCell::new(Patch::new(&process_settings.zone, taste)),
             pool: Pool::new(room.workers),
-            follow: RefCell::new(Follow::new(&skep.zone, &skep.seeds())),
+            follow: RefCell::new(Follow::new(
+                &process_settings.zone,
+                &process_settings.seeds(),
+            )),
             routes: RefCell::new(None),
             offered: RefCell::new(None),
             chance: RefCell::new(Chance::new(seed)),
@@ -119,7 +123,7 @@
             hand: Cell::new(0),
             phase: watch::channel(Phase::Open).0,
             ending: Cell::new(None),
-            seeds: watch::channel(skep.seeds()).0,
+            seeds: watch::channel(process_settings.seeds()).0,
         }
     }
 
@@ -166,7 +170,8 @@
         self.phase.send_replace(Phase::Stopping);
     }
 
-    /// Whether a request that came at `now` and is to be answered by `deadline` can be, before this process ends.
+    /// Whether a request that came at `now` and is to be answered by `deadline` can be, before this process
+    /// ends.
     pub fn takes(&self, now: Millis, deadline: Millis) -> bool {
         (self.ending.get()).is_none_or(|ending| ending.takes(now, deadline))
     }
--- a/crates/elderpond-forager/tests/ending.rs
+++ b/crates/elderpond-forager/tests/ending.rs
@@ -24,7 +24,8 @@
     assert_eq!(ending.takes(now, now + within), taken);
 }
 
-/// Requests sent up to 3 s after the signal may be cut in the second half of the grace period; later ones never.
+/// Requests sent up to 3 s after the signal may be cut in the second half of the grace period; later ones
+/// never.
 #[parameterized(six = { 6 }, ten = { 10 }, thirty = { 30 })]
 fn given_any_grace_then_nothing_is_taken_blindly_three_seconds_after(seconds: u64) {
     let grace = Duration::from_secs(seconds);
--- a/crates/elderpond-forager/tests/world/mod.rs
+++ b/crates/elderpond-forager/tests/world/mod.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use elderpond_control_wire::{FromHive, Pulse, encode};
 use elderpond_forager::{Doors, Told, serve};
+use elderpond_process_settings::ProcessSettings;
 use elderpond_registry::{Change, Entry};
-use elderpond_skep::Skep;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
@@ -116,10 +116,11 @@
             told.ratio,
             told.grace_s,
         );
-        let skep = Skep::parse(Path::new("settings"), &settings).expect("settings");
+        let process_settings =
+            ProcessSettings::parse(Path::new("settings"), &settings).expect("settings");
         let (tell, orders) = mpsc::unbounded_channel();
         let doors = Doors { front, readiness };
-        let forager = tokio::task::spawn_local(serve(skep, doors, orders));
+        let forager = tokio::task::spawn_local(serve(process_settings, doors, orders));
         let version = FromHive::Version {
             version: 1,
             body: configuration(&told),
--- a/crates/elderpond-hive/src/core/calls.rs
+++ b/crates/elderpond-hive/src/core/calls.rs
@@ -57,7 +57,8 @@
         if self.registry.learn(self.now, said) {
             self.fresh.insert(number);
             if !known {
-                self.journal.note(self.now, What::Hatched(said.id.clone()));
+                self.journal
+                    .note(self.now, What::WorkerJoined(said.id.clone()));
                 self.displace(said, number);
             }
         } else {
--- a/crates/elderpond-hive/src/core/version_pace.rs
+++ b/crates/elderpond-hive/src/core/version_pace.rs
@@ -1,9 +1,9 @@
 //! When a proxy is told the next version of the configuration.
 //!
-//! A proxy's link carries its clients' answers, departures and versions alike, and may be slow. So at most one
-//! version is on its way to a proxy, the newest when it was sent; the proxy says when it has taken it, and the
-//! link then rests for a multiple of the time that this took. Versions that are overtaken meanwhile are never
-//! sent, and a departure waits behind one version at most.
+//! A proxy's link carries its clients' answers, departures and versions alike, and may be slow. So at most
+//! one version is on its way to a proxy, the newest when it was sent; the proxy says when it has taken it,
+//! and the link then rests for a multiple of the time that this took. Versions that are overtaken meanwhile
+//! are never sent, and a departure waits behind one version at most.
 
 use crate::Millis;
 
@@ -11,8 +11,8 @@
 const REST_TIMES: Millis = 2;
 /// The longest rest, in ms: the bound within which a version is to be in force is 2.5 s and more.
 const REST_MOST: Millis = 800;
-/// A version of which nothing is heard for so long is taken for told, in ms: who is to answer may be a program that
-/// does not.
+/// A version of which nothing is heard for so long is taken for told, in ms: who is to answer may be a
+/// program that does not.
 const UNANSWERED: Millis = 2_000;
 
 /// What one proxy was told of versions.
--- a/crates/elderpond-hive/src/journal.rs
+++ b/crates/elderpond-hive/src/journal.rs
@@ -34,7 +34,7 @@
     /// A version was brought and refused.
     Refused(u64, u16),
     /// A life was first heard of.
-    Hatched(String),
+    WorkerJoined(String),
     /// A life has come this far.
     Departed(String, State),
     /// A life is not heard of any more.
--- a/crates/elderpond-hive/src/run.rs
+++ b/crates/elderpond-hive/src/run.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use elderpond_consensus::{Record, Stored};
 use elderpond_control_wire::Hello;
-use elderpond_skep::{Followed, Skep};
+use elderpond_process_settings::{Followed, ProcessSettings};
 use elderpond_storage::{Keeper, Storage};
 use hashbrown::HashMap;
 use tokio::net::{TcpListener, UdpSocket};
@@ -52,12 +52,12 @@
 /// # Errors
 ///
 /// What kept it from starting.
-pub fn run(settings: Followed, skep: Skep) -> anyhow::Result<()> {
-    let disk = skep.data_directory.as_deref().map(open);
+pub fn run(settings: Followed, process_settings: ProcessSettings) -> anyhow::Result<()> {
+    let disk = process_settings.data_directory.as_deref().map(open);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(host(settings, skep, disk))
+    runtime.block_on(host(settings, process_settings, disk))
 }
 
 struct Disk {
@@ -93,10 +93,14 @@
     }
 }
 
-async fn host(settings: Followed, skep: Skep, disk: Option<Disk>) -> anyhow::Result<()> {
-    let me = skep.ip_address;
-    let inner = SocketAddrV4::new(me, skep.inner_port());
-    let control = skep.listen_addresses.control;
+async fn host(
+    settings: Followed,
+    process_settings: ProcessSettings,
+    disk: Option<Disk>,
+) -> anyhow::Result<()> {
+    let me = process_settings.ip_address;
+    let inner = SocketAddrV4::new(me, process_settings.inner_port());
+    let control = process_settings.listen_addresses.control;
     let control = control.context("listen-addresses.control is missing, and a hive needs it")?;
     let (inputs, mut input) = mpsc::channel(INPUTS);
     let packets = UdpSocket::bind(inner).await;
@@ -121,17 +125,20 @@
             (true, None, None)
         }
     };
-    let place = place(&skep, control.port(), damaged);
+    let place = place(&process_settings, control.port(), damaged);
     let clock = Instant::now();
     let now = move || clock.elapsed().as_millis() as Millis + 1;
     let mut out = Vec::new();
     let hive = Hive::new(now(), place, stored, &mut out);
     let listener = TcpListener::bind(control).await;
     let server = serve::serve(listener.with_context(|| control.to_string())?, &inputs)?;
-    log::info!("{} is up: control {control}, inner {inner}", skep.node_name);
+    log::info!(
+        "{} is up: control {control}, inner {inner}",
+        process_settings.node_name
+    );
     let mut host = Host {
         me,
-        port: skep.inner_port(),
+        port: process_settings.inner_port(),
         random: now() ^ u64::from(u32::from(me)),
         settings,
         server,
@@ -144,7 +151,7 @@
         hives: HashMap::default(),
         probes: Arc::new(Semaphore::new(PROBES)),
         unkept: Vec::new(),
-        grace: Duration::from_secs_f64(skep.bounds.grace_period_s),
+        grace: Duration::from_secs_f64(process_settings.bounds.grace_period_s),
         ends: None,
         hive,
     };
@@ -194,22 +201,22 @@
     }
 }
 
-fn place(skep: &Skep, control_port: u16, damaged: bool) -> Place {
+fn place(process_settings: &ProcessSettings, control_port: u16, damaged: bool) -> Place {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     let time = time.unwrap_or_default().as_nanos() as u64;
     let spread = RandomState::new().hash_one(time);
     let millis = |seconds: f64| (seconds * 1000.0) as Millis;
     Place {
-        me: skep.ip_address,
-        name: skep.node_name.clone(),
-        zone: skep.zone.clone(),
+        me: process_settings.ip_address,
+        name: process_settings.node_name.clone(),
+        zone: process_settings.zone.clone(),
         control_port,
-        seeds: skep.seeds(),
-        first_start: skep.first_start && !damaged,
-        losses: skep.tolerated_losses.machines,
-        beat: millis(skep.heartbeat_interval_s).max(100),
-        reuse: millis(skep.bounds.address_reuse_s),
-        grace: millis(skep.bounds.grace_period_s),
+        seeds: process_settings.seeds(),
+        first_start: process_settings.first_start && !damaged,
+        losses: process_settings.tolerated_losses.machines,
+        beat: millis(process_settings.heartbeat_interval_s).max(100),
+        reuse: millis(process_settings.bounds.address_reuse_s),
+        grace: millis(process_settings.bounds.grace_period_s),
         incarnation: time / 1_000_000,
         random: time ^ spread,
     }
@@ -288,7 +295,7 @@
     /// The settings' seeds, if the file has changed.
     fn seeds(&mut self, always: bool) -> Option<Event> {
         match self.settings.changed(always) {
-            Ok(Some(skep)) => Some(Event::Seeds(skep.seeds())),
+            Ok(Some(process_settings)) => Some(Event::Seeds(process_settings.seeds())),
             Ok(None) => None,
             Err(error) => {
                 log::warn!("{error}; the settings before go on");
--- a/crates/elderpond-hive/tests/fleet/apart.rs
+++ b/crates/elderpond-hive/tests/fleet/apart.rs
@@ -71,7 +71,7 @@
     assert_eq!(put(&mut fleet, 0, 1), 200);
     for at in 0..2 * hives {
         fleet.roam(at);
-        fleet.hatch(at % hives, &format!("w{at}"));
+        fleet.worker_joins(at % hives, &format!("w{at}"));
         fleet.workers[at].roams = true;
     }
     fleet.run(6000);
@@ -138,8 +138,8 @@
 #[test]
 fn given_a_hive_that_stood_still_when_it_reads_what_waited_then_it_takes_nothing_of_it_for_new() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(2, "dead");
-    fleet.hatch(0, "also-dead");
+    fleet.worker_joins(2, "dead");
+    fleet.worker_joins(0, "also-dead");
     fleet.run(3000);
     assert_eq!(put(&mut fleet, 0, 1), 200);
     // when it stands still, and the workers end
@@ -194,7 +194,7 @@
 fn given_a_departure_that_is_durable_when_it_is_said_to_a_hive_cut_off_then_it_is_not_acknowledged()
 {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1");
+    fleet.worker_joins(0, "w1");
     fleet.run(500);
     fleet.forget_worker("w1");
     let leave = || Command::Leave { id: "w1".into() };
@@ -227,7 +227,7 @@
     assert!(fleet.foragers[0].settled);
     fleet.cut_off(2);
     fleet.run(3000);
-    fleet.hatch(0, "new");
+    fleet.worker_joins(0, "new");
     fleet.run(500);
     assert!(fleet.foragers[0].lists("new"));
     let link = fleet.foragers[0].link;
@@ -356,7 +356,7 @@
     let mut fleet = Fleet::settled(3);
     fleet.run(4000);
     fleet.cut_off(2);
-    fleet.hatch(0, "new");
+    fleet.worker_joins(0, "new");
     fleet.run(1300);
     for step in 0..450 {
         if step == 50 {
@@ -396,7 +396,7 @@
         let mut fleet = Fleet::settled(3);
         fleet.freeze(2, true);
         fleet.run(5000 + phase);
-        fleet.hatch(0, "new");
+        fleet.worker_joins(0, "new");
         fleet.run(200);
         fleet.freeze(2, false);
         fleet.run(LEFTOVERS + 200);
--- a/crates/elderpond-hive/tests/fleet/play.rs
+++ b/crates/elderpond-hive/tests/fleet/play.rs
@@ -681,7 +681,7 @@
     }
 
     /// A worker that beats at a hive from now on.
-    pub fn hatch(&mut self, hive: usize, id: &str) {
+    pub fn worker_joins(&mut self, hive: usize, id: &str) {
         let worker = Worker {
             id: id.to_owned(),
             hive,
--- a/crates/elderpond-hive/tests/fleet/stories.rs
+++ b/crates/elderpond-hive/tests/fleet/stories.rs
@@ -13,7 +13,7 @@
     let mut fleet = Fleet::settled(3);
     fleet.loss = loss;
     // when
-    fleet.hatch(1, "w1");
+    fleet.worker_joins(1, "w1");
     // then
     fleet.run(if loss == 0 { 120 } else { 4000 });
     assert!(fleet.lists_everywhere("w1"));
@@ -24,7 +24,7 @@
 #[test]
 fn a_worker_that_falls_silent_is_not_listed_until_it_beats_again() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1");
+    fleet.worker_joins(0, "w1");
     fleet.run(500);
     // when it crashes
     fleet.forget_worker("w1");
@@ -40,8 +40,8 @@
 fn a_departure_acknowledged_outlives_the_end_of_all_hives(how: &str) {
     // given
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1");
-    fleet.hatch(0, "w2");
+    fleet.worker_joins(0, "w1");
+    fleet.worker_joins(0, "w2");
     fleet.run(2000);
     // when
     fleet.forget_worker("w1");
@@ -76,7 +76,7 @@
 #[test]
 fn a_departure_is_not_acknowledged_while_disks_stall() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1");
+    fleet.worker_joins(0, "w1");
     fleet.run(1000);
     fleet.disk_stalls(1);
     fleet.disk_stalls(2);
@@ -89,8 +89,8 @@
 fn a_hive_that_is_cut_off_acknowledges_nothing_and_believes_no_silence() {
     // given
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w0");
-    fleet.hatch(1, "w1");
+    fleet.worker_joins(0, "w0");
+    fleet.worker_joins(1, "w1");
     fleet.run(3000);
     let first = configuration(1, "2");
     assert_eq!(fleet.ask(0, replace(&first)).0, 200);
@@ -102,7 +102,7 @@
     assert_eq!(fleet.ask(2, Command::Read).0, 503);
     let beat = fleet.beat("w1", "draining");
     assert_eq!(fleet.ask(2, beat).0, 503);
-    fleet.hatch(2, "w2");
+    fleet.worker_joins(2, "w2");
     fleet.run(100);
     assert!(fleet.foragers[2].lists("w2"), "learnt");
     let beat = fleet.beat("w2", "ready");
@@ -180,8 +180,8 @@
 #[test]
 fn after_a_restart_of_all_hives_tables_stay_until_all_had_time_to_beat() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w0");
-    fleet.hatch(1, "dies");
+    fleet.worker_joins(0, "w0");
+    fleet.worker_joins(1, "dies");
     fleet.run(3000);
     // when all hives are killed, and a worker with them
     for at in 0..3 {
@@ -214,7 +214,7 @@
 #[test]
 fn a_hive_that_stood_still_takes_nobody_for_silent() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w0");
+    fleet.worker_joins(0, "w0");
     fleet.run(3000);
     fleet.freeze(2, true);
     fleet.run(12_000);
@@ -250,7 +250,7 @@
     // given
     let mut fleet = Fleet::settled(3);
     for id in ["w0", "w1", "bad"] {
-        fleet.hatch(0, id);
+        fleet.worker_joins(0, id);
     }
     assert_eq!(fleet.ask(0, replace(&configuration(1, "2"))).0, 200);
     fleet.run(1000);
@@ -315,12 +315,12 @@
 #[test]
 fn an_address_given_to_a_new_life_is_taken_from_the_one_before() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1@x");
+    fleet.worker_joins(0, "w1@x");
     fleet.run(500);
     fleet.forget_worker("w1@x");
     fleet.run(2200);
     assert!(fleet.lists_everywhere("w1@x"), "not silent for long");
-    fleet.hatch(0, "w2@x");
+    fleet.worker_joins(0, "w2@x");
     fleet.run(200);
     assert!(fleet.listed_nowhere("w1@x"));
     assert!(fleet.lists_everywhere("w2@x"));
@@ -420,8 +420,8 @@
 #[test]
 fn given_a_table_just_told_when_a_worker_leaves_then_the_next_to_join_is_not_told_of_it() {
     let mut fleet = Fleet::settled(3);
-    fleet.hatch(0, "w1");
-    fleet.hatch(0, "w2");
+    fleet.worker_joins(0, "w1");
+    fleet.worker_joins(0, "w2");
     fleet.run(400);
     fleet.follow(0);
     fleet.say(0, "w1", "draining");
--- a/crates/elderpond-skep/src/lib.rs
+++ b/crates/elderpond-process-settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings file of a process of the gateway: reading, checking, following its changes.
 //!
-//! A skep is the basket that a colony is put into: what stands in this file is all that a process
+//! A process_settings is the basket that a colony is put into: what stands in this file is all that a process
 //! is told about its place. Fields that are not known are ignored.
 
 mod tenants;
@@ -19,7 +19,7 @@
 
 /// What is wrong with a settings file; each names the file.
 #[derive(Debug, thiserror::Error)]
-pub enum SkepError {
+pub enum ProcessSettingsError {
     /// No file was named.
     #[error("no settings file: {VARIABLE} is not set and --settings not given")]
     Unnamed,
@@ -40,7 +40,7 @@
 /// What a process is told. Spans are seconds.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
-pub struct Skep {
+pub struct ProcessSettings {
     /// The machine's name.
     pub node_name: String,
     /// The machine's address.
@@ -192,15 +192,15 @@
     Ok(())
 }
 
-impl Skep {
+impl ProcessSettings {
     /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
     /// What is wrong, with the file and the field.
-    pub fn read(path: &Path) -> Result<Self, SkepError> {
+    pub fn read(path: &Path) -> Result<Self, ProcessSettingsError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|error| SkepError::Unreadable(path.to_owned(), error))?;
+            .map_err(|error| ProcessSettingsError::Unreadable(path.to_owned(), error))?;
         Self::parse(path, &text)
     }
 
@@ -209,14 +209,14 @@
     /// # Errors
     ///
     /// What is wrong, with the file and the field.
-    pub fn parse(path: &Path, text: &str) -> Result<Self, SkepError> {
-        let skep: Self = serde_norway::from_str(text)
-            .map_err(|error| SkepError::Mistyped(path.to_owned(), error))?;
-        skep.validate().map_err(|errors| {
+    pub fn parse(path: &Path, text: &str) -> Result<Self, ProcessSettingsError> {
+        let process_settings: Self = serde_norway::from_str(text)
+            .map_err(|error| ProcessSettingsError::Mistyped(path.to_owned(), error))?;
+        process_settings.validate().map_err(|errors| {
             let line = errors.to_string().replace('\n', "; ").replace('_', "-");
-            SkepError::Invalid(path.to_owned(), line)
+            ProcessSettingsError::Invalid(path.to_owned(), line)
         })?;
-        Ok(skep)
+        Ok(process_settings)
     }
 
     /// The hives' own addresses among the seeds.
@@ -243,14 +243,16 @@
     /// # Errors
     ///
     /// What is wrong, with the file and the field.
-    pub fn open(given: Option<&Path>) -> Result<(Self, Skep), SkepError> {
+    pub fn open(given: Option<&Path>) -> Result<(Self, ProcessSettings), ProcessSettingsError> {
         let path = match given {
             Some(path) => path.to_owned(),
-            None => std::env::var_os(VARIABLE).ok_or(SkepError::Unnamed)?.into(),
+            None => std::env::var_os(VARIABLE)
+                .ok_or(ProcessSettingsError::Unnamed)?
+                .into(),
         };
-        let skep = Skep::read(&path)?;
+        let process_settings = ProcessSettings::read(&path)?;
         let seen = modified(&path);
-        Ok((Self { path, seen }, skep))
+        Ok((Self { path, seen }, process_settings))
     }
 
     /// Its path.
@@ -263,13 +265,16 @@
     /// # Errors
     ///
     /// What is wrong with the new text; the old settings go on.
-    pub fn changed(&mut self, always: bool) -> Result<Option<Skep>, SkepError> {
+    pub fn changed(
+        &mut self,
+        always: bool,
+    ) -> Result<Option<ProcessSettings>, ProcessSettingsError> {
         let now = modified(&self.path);
         if now == self.seen && !always {
             return Ok(None);
         }
         self.seen = now;
-        Skep::read(&self.path).map(Some)
+        ProcessSettings::read(&self.path).map(Some)
     }
 }
 
--- a/crates/elderpond-skep/src/tenants.rs
+++ b/crates/elderpond-process-settings/src/tenants.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use validator::{Validate, ValidationError};
 
-use crate::SkepError;
+use crate::ProcessSettingsError;
 
 /// Who owns which hosts. A host that nobody owns is a tenant by itself.
 #[derive(Clone, Debug, Default, Deserialize, Validate)]
@@ -61,9 +61,9 @@
     /// # Errors
     ///
     /// What is wrong, with the file and the field.
-    pub fn read(path: &Path) -> Result<Self, SkepError> {
+    pub fn read(path: &Path) -> Result<Self, ProcessSettingsError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|error| SkepError::Unreadable(path.to_owned(), error))?;
+            .map_err(|error| ProcessSettingsError::Unreadable(path.to_owned(), error))?;
         Self::parse(path, &text)
     }
 
@@ -72,12 +72,12 @@
     /// # Errors
     ///
     /// What is wrong, with the file and the field.
-    pub fn parse(path: &Path, text: &str) -> Result<Self, SkepError> {
+    pub fn parse(path: &Path, text: &str) -> Result<Self, ProcessSettingsError> {
         let read: Self = serde_norway::from_str(text)
-            .map_err(|error| SkepError::Mistyped(path.to_owned(), error))?;
+            .map_err(|error| ProcessSettingsError::Mistyped(path.to_owned(), error))?;
         read.validate().map_err(|errors| {
             let line = errors.to_string().replace('\n', "; ");
-            SkepError::Invalid(path.to_owned(), line)
+            ProcessSettingsError::Invalid(path.to_owned(), line)
         })?;
         Ok(read)
     }
--- a/crates/elderpond-skep/tests/settings.rs
+++ b/crates/elderpond-process-settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use elderpond_skep::{Skep, Tenants};
+use elderpond_process_settings::{ProcessSettings, Tenants};
 use yare::parameterized;
 
 const GOOD: &str = r#"node-name: "core_proxy-porto-a-1"
@@ -36,16 +36,17 @@
 
 #[test]
 fn a_proper_file_is_read_and_strange_fields_are_passed_over() {
-    let skep = Skep::parse(Path::new("boot.yaml"), GOOD).expect("it is proper");
+    let process_settings =
+        ProcessSettings::parse(Path::new("boot.yaml"), GOOD).expect("it is proper");
     assert_eq!(
         (
-            skep.inner_port(),
-            skep.seeds().len(),
-            skep.tolerated_losses.machines
+            process_settings.inner_port(),
+            process_settings.seeds().len(),
+            process_settings.tolerated_losses.machines
         ),
         (7540, 2, 1)
     );
-    assert_eq!(skep.bounds.grace_period_s, 6.0);
+    assert_eq!(process_settings.bounds.grace_period_s, 6.0);
 }
 
 #[parameterized(
@@ -56,7 +57,7 @@
     address = { "ip-address: \"10.1.0.37\"", "ip-address: \"here\"", "ip-address" },
 )]
 fn a_fault_names_file_and_field(good: &str, bad: &str, field: &str) {
-    let error = Skep::parse(Path::new("boot.yaml"), &GOOD.replacen(good, bad, 1));
+    let error = ProcessSettings::parse(Path::new("boot.yaml"), &GOOD.replacen(good, bad, 1));
     let said = error.expect_err("it is not proper").to_string();
     assert!(
         said.starts_with("boot.yaml: ") && said.contains(field),
