--- a/crates/elderpond-hive/src/core/follow.rs
+++ b/crates/elderpond-hive/src/core/follow.rs
@@ -66,7 +66,8 @@
         for (link, forager) in &mut self.foragers {
             // What this hive learns before it vouches may be old: it goes out before the word that vouches.
             let due = forager.versions.is_due(now, version);
-            if !due && !(catches_up && forager.versions.lacks(version)) {
+            let at_once = catches_up && forager.versions.lacks(version);
+            if !(due || at_once) {
                 continue;
             }
             let frame = in_force.frame.get_or_insert_with(|| {
