--- a/crates/elderpond-simulator/src/story.rs
+++ b/crates/elderpond-simulator/src/story.rs
@@ -510,8 +510,22 @@
     }
 }
 
+/// The story without any two of its troubles: of two that undo each other neither can go alone.
+fn without_two(story: &Story) -> Vec<Story> {
+    let mut shorter = Vec::new();
+    for later in 0..story.troubles.len() {
+        for earlier in 0..later {
+            let mut without = story.clone();
+            without.troubles.remove(later);
+            without.troubles.remove(earlier);
+            shorter.push(without);
+        }
+    }
+    shorter
+}
+
 /// The shortest story found that still breaks the same rule, and how: troubles are dropped one by one, then
-/// what they do beside is, then spans are halved.
+/// what they do beside is, then spans are halved, and at last two troubles are dropped at once.
 #[must_use]
 pub fn shortest(story: &Story, fault: String) -> (Story, String) {
     let rule = |fault: &str| fault.split(':').next().map(str::to_owned);
@@ -543,6 +557,7 @@
                 shorter.push(halved);
             }
         }
+        shorter.extend(without_two(&story));
         let still = |it: Story| match play(&it) {
             Err(fault) if rule(&fault) == broken => Some((it, fault)),
             _ => None,
