--- a/crates/elderpond-consensus/src/handover.rs
+++ b/crates/elderpond-consensus/src/handover.rs
@@ -93,10 +93,7 @@
     /// newest set without it hold on disk what it holds. Means something once it was told that it ends.
     #[must_use]
     pub fn hand_over(&self) -> HandOver {
-        let here = Voter {
-            node: self.me,
-            disk: self.disk,
-        };
+        let here = self.this_voter();
         let Some(set) = &self.set else {
             return HandOver::Done { by: Vec::new() };
         };
--- a/crates/elderpond-consensus/src/reads.rs
+++ b/crates/elderpond-consensus/src/reads.rs
@@ -41,14 +41,17 @@
 
     /// Whether its answer may be given, with that version in force here and so many voters as a majority.
     pub(crate) fn is_done(&self, in_force: u64, majority: usize) -> bool {
-        let marks = !self.confirms || self.marks_of.len() >= majority;
-        marks && self.target.is_some_and(|target| target <= in_force)
+        self.has_marks(majority) && self.target.is_some_and(|target| target <= in_force)
     }
 
     /// Whether voters have still to be asked.
     pub(crate) fn is_open(&self, majority: usize) -> bool {
-        let marks = !self.confirms || self.marks_of.len() >= majority;
-        !marks || self.target.is_none()
+        !self.has_marks(majority) || self.target.is_none()
+    }
+
+    /// Whether it needs no marks, or has those of a majority.
+    fn has_marks(&self, majority: usize) -> bool {
+        !self.confirms || self.marks_of.len() >= majority
     }
 }
 
@@ -100,7 +103,7 @@
             disk: self.disk,
             id,
             held,
-            written: self.on_disk().0 == held,
+            written: self.on_disk == held,
             committed: self.force.as_ref().map(|held| held.tag),
         }
     }
--- a/crates/elderpond-consensus/src/reconfiguration.rs
+++ b/crates/elderpond-consensus/src/reconfiguration.rs
@@ -59,11 +59,16 @@
         self.ask();
     }
 
-    pub(crate) fn is_member(&self) -> bool {
-        self.voters().contains(&Voter {
+    /// This machine with the disk that it has.
+    pub(crate) fn this_voter(&self) -> Voter {
+        Voter {
             node: self.me,
             disk: self.disk,
-        })
+        }
+    }
+
+    pub(crate) fn is_member(&self) -> bool {
+        self.voters().contains(&self.this_voter())
     }
 
     // Whom to have.
@@ -111,10 +116,7 @@
 
     /// The machines that were heard of lately and could vote, each with the disk that it has now.
     fn candidates(&self) -> Vec<Voter> {
-        let mut candidates = vec![Voter {
-            node: self.me,
-            disk: self.disk,
-        }];
+        let mut candidates = vec![self.this_voter()];
         for &node in &self.alive {
             let Some(peer) = self.peers.get(&node) else {
                 continue;
@@ -171,12 +173,8 @@
     /// of anybody; it has to vote for that first.
     #[must_use]
     pub fn is_on_its_way_out(&self) -> bool {
-        let me = Voter {
-            node: self.me,
-            disk: self.disk,
-        };
         let wanted = self.wanted();
-        self.is_member() && wanted.is_none_or(|wanted| !wanted.contains(&me))
+        self.is_member() && wanted.is_none_or(|wanted| !wanted.contains(&self.this_voter()))
     }
 
     pub(crate) fn tick_reconfiguration(&mut self) {
--- a/crates/elderpond-hive/src/core/follow.rs
+++ b/crates/elderpond-hive/src/core/follow.rs
@@ -312,11 +312,13 @@
         if self.foragers.is_empty() {
             return;
         }
-        let vouched = encode(&self.word(self.vouched));
-        let behind = encode(&self.word(false));
+        let word = encode(&self.word(self.vouched));
+        let mut unvouched = None;
         for (link, forager) in &self.foragers {
-            let current = forager.versions.behind(self.now) <= LEASE;
-            let frame = if current { &vouched } else { &behind };
+            let frame = match forager.versions.behind(self.now) <= LEASE {
+                true => &word,
+                false => unvouched.get_or_insert_with(|| encode(&self.word(false))),
+            };
             out.push(Action::ToForager {
                 link: *link,
                 frame: frame.clone(),
--- a/crates/elderpond-simulator/src/world/hives.rs
+++ b/crates/elderpond-simulator/src/world/hives.rs
@@ -4,10 +4,7 @@
 
 impl World {
     pub(super) fn start(&mut self, hive: usize) {
-        let apart = self
-            .in_use()
-            .iter()
-            .any(|it| self.cut(hive, *it) || self.cut(*it, hive));
+        let apart = self.is_apart(hive);
         let machine = &mut self.machines[hive];
         if machine.hive.is_some() || !machine.in_use || machine.gone {
             return;
--- a/scripts/days.py
+++ b/scripts/days.py
@@ -20,7 +20,7 @@
       dict(kind='after_ack_wipe',for_s=2.0),
       dict(kind='disk_slow',count=1,x=30.0,for_s=4.5),
       dict(kind='disk_stall',count=1,for_s=4.5)]
-PLANNED={'release','scale_in','config_change','config_storm','config_race','bad_config','seed_turnover','roll_term'}
+PLANNED={'release','scale_in','config_change','config_storm','config_race','bad_config','seed_turnover','roll_term','scale_out','big_config','hup'}
 
 def varied(r,t,services):
     """The trouble with its strength, its length and its manner drawn by `r`."""
--- a/scripts/draw_days.py
+++ b/scripts/draw_days.py
@@ -21,10 +21,8 @@
 import sys
 import tomllib
 
-from days import RULES, scored, write
+from days import PLANNED, RULES, scored, write
 
-PLANNED = {'release', 'scale_in', 'scale_out', 'config_change', 'config_storm', 'config_race', 'bad_config',
-           'big_config', 'seed_turnover', 'roll_term', 'hup'}
 CHANGES = ['route', 'weights', 'timeout', 'idle']
 BAD = ['cut_short', 'unknown_service', 'same_place', 'no_weight', 'no_timeout', 'old_version', 'same_version',
        'stale_match', 'shared_key']
